--- a/budget/backoff.go
+++ b/budget/backoff.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// This file is how routers that write one page at the same time make way for each
-// other.
+// This file spaces out the writes of routers that update the same page concurrently.
 
 const (
-	// conflictsAtOnce is how many conflicts in a row are followed by another
-	// write at once: with a handful of writers the next one mostly succeeds.
-	conflictsAtOnce = 4
-	// backOffFirst is the longest pause after the next conflict, which doubles with
-	// each further one. Many routers that write one page at once would otherwise
-	// keep each other from it.
-	backOffFirst = 40 * time.Millisecond
-	// backOffAwaited bounds the pause of a write that somebody waits for. The bound
-	// of others grows by backOffEach with each holder that has written the page: of
-	// many routers that start together each has tokens to take back, and should
-	// leave the page to those with callers. It is some times what a write takes.
-	backOffAwaited = 320 * time.Millisecond
-	backOffEach    = 25 * time.Millisecond
+	// immediateRetries is how many consecutive conflicts are retried at once: with a
+	// handful of writers the next attempt usually succeeds.
+	immediateRetries = 4
+	// initialBackoff is the longest pause after the first conflict beyond those; it
+	// doubles with each further conflict. Without it, many routers that write one page at
+	// once would keep each other from succeeding.
+	initialBackoff = 40 * time.Millisecond
+	// maxUrgentBackoff bounds the pause before a write that a caller waits for, and is a
+	// few times the duration of a write. For other writes the bound grows by
+	// maxBackoffPerWriter with each holder that has written the page: when many routers
+	// start together, each has tokens to take back and should leave the page to those with
+	// waiting callers.
+	maxUrgentBackoff    = 320 * time.Millisecond
+	maxBackoffPerWriter = 25 * time.Millisecond
 )
 
-// backOff puts the next write of a page off after a conflict, by a time that
-// differs between routers.
+// backOff delays the next write of a page after a conflict, by a time that differs between
+// routers.
 func (a *Agent) backOff(now time.Time, ps *pageState) {
 	ps.conflicts++
-	if ps.conflicts <= conflictsAtOnce {
+	if ps.conflicts <= immediateRetries {
 		return
 	}
-	longest := min(backOffFirst<<min(ps.conflicts-conflictsAtOnce-1, 7), max(backOffAwaited, time.Duration(ps.writers)*backOffEach))
+	longest := min(initialBackoff<<min(ps.conflicts-immediateRetries-1, 7), max(maxUrgentBackoff, time.Duration(ps.writers)*maxBackoffPerWriter))
 	ps.conflictedAt = now
-	ps.pause = time.Duration(chance(a.seed+uint64(a.writes)) * float64(longest))
+	ps.pause = time.Duration(quasiRandom(a.seed+uint64(a.writes)) * float64(longest))
 }
 
-// backsOff tells whether the next write of a page still waits after conflicts.
-func (ps *pageState) backsOff(now time.Time) bool {
+// inBackoff reports whether the next write of a page is still delayed by conflicts.
+func (ps *pageState) inBackoff(now time.Time) bool {
 	pause := ps.pause
 	if ps.urgent() {
-		pause = min(pause, backOffAwaited)
+		pause = min(pause, maxUrgentBackoff)
 	}
 	return now.Sub(ps.conflictedAt) < pause
 }
 
-// chance spreads the numbers of reservations evenly over [0, 1).
-func chance(n uint64) float64 {
-	const golden = 0.6180339887498949 // the fractional multiples of the golden ratio are spread evenly
-	_, f := math.Modf(float64(n) * golden)
-	return f
+// quasiRandom spreads consecutive numbers evenly over [0, 1).
+func quasiRandom(n uint64) float64 {
+	const goldenRatio = 0.6180339887498949 // the fractional parts of its multiples are evenly spread
+	_, fraction := math.Modf(float64(n) * goldenRatio)
+	return fraction
 }
--- a/budget/borrow.go
+++ b/budget/borrow.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	// lendersAsked is how many routers are asked at most for one shortage; an answer
+	// maxLendersAsked is how many routers are asked at most for one shortage; an answer
 	// takes a few milliseconds.
-	lendersAsked = 8
-	// storeSlowAfter is how long a store call may be out before other routers are
-	// asked meanwhile: some times what one takes at a store that is well.
+	maxLendersAsked = 8
+	// storeSlowAfter is how long a store call may be outstanding before other routers are
+	// asked in parallel: a few times the duration of a call to a healthy store.
 	storeSlowAfter = 60 * time.Millisecond
-	// lentShare is the part of a balance that is lent beyond what is needed.
-	lentShare = 3
+	// lendDivisor: a lender gives up to one part in lendDivisor of its usable balance
+	// beyond what the borrower needs.
+	lendDivisor = 3
 )
 
-// borrowing is a router's search for tokens at other routers, after the store
-// had too few or did not answer.
+// borrowing is a router's search for tokens at other routers, after the store had too few
+// or did not answer.
 type borrowing struct {
-	// from is the router that was asked and has not answered yet.
+	// from is the router whose answer is outstanding; empty: none.
 	from string
 	at   time.Time
-	// asked are the routers of this search.
+	// asked holds the routers already asked in this search.
 	asked map[string]bool
-	// failedAt is when the last search found nothing.
+	// failedAt is when the last search failed.
 	failedAt time.Time
 }
 
-// storeSlow tells whether the answer to the purse's draw is overdue, so that other
-// routers should be asked meanwhile.
-func (a *Agent) storeSlow(now time.Time, p *purse) bool {
+// storeSlow reports whether the answer to the pool's draw is overdue, so that other
+// routers should be asked in the meantime.
+func (a *Agent) storeSlow(now time.Time, p *pool) bool {
 	ps := a.pages[p.page]
 	return ps != nil && (ps.reading || ps.writing) && now.Sub(ps.calledAt) >= storeSlowAfter
 }
 
-// storeAway tells whether waiting for the store is of no use: it does not answer
-// this router, or its last call for the purse's page failed.
-func (a *Agent) storeAway(p *purse) bool {
+// storeUnavailable reports whether waiting for the store is pointless: it does not answer
+// this router, or its last call for the pool's page failed.
+func (a *Agent) storeUnavailable(p *pool) bool {
 	ps := a.pages[p.page]
 	return ps != nil && ps.failed || a.cfg.StoreLost != nil && a.cfg.StoreLost()
 }
 
-// borrow asks the next router; false means that there is none left to ask.
-func (a *Agent) borrow(now time.Time, p *purse) bool {
+// borrow asks the next router; it returns false if there is none left to ask.
+func (a *Agent) borrow(now time.Time, p *pool) bool {
 	b := &p.borrowing
 	if b.from != "" {
 		return true
@@ -49,13 +50,13 @@
 		return false
 	}
 	for _, lender := range a.cfg.Lenders(now, p.id) {
-		if len(b.asked) >= lendersAsked {
+		if len(b.asked) >= maxLendersAsked {
 			break
 		}
 		if b.asked[lender.ID] {
 			continue
 		}
-		a.askLender(now, p, lender.ID)
+		a.requestLoan(now, p, lender.ID)
 		return true
 	}
 	b.asked = nil
@@ -63,7 +64,7 @@
 	return false
 }
 
-func (a *Agent) askLender(now time.Time, p *purse, id string) {
+func (a *Agent) requestLoan(now time.Time, p *pool, id string) {
 	b := &p.borrowing
 	if b.asked == nil {
 		b.asked = map[string]bool{}
@@ -71,35 +72,35 @@
 	b.asked[id] = true
 	b.from, b.at = id, now
 	m := a.move(p, Borrow, Peer{ID: id}, 0)
-	m.Need = max(p.unmet(), 1)
-	m.Want = max(m.Need, p.ahead(now, a.cfg.EntryHorizon))
+	m.Need = max(p.shortfall(), 1)
+	m.Want = max(m.Need, p.expectedDemand(now, a.cfg.EntryHorizon))
 	a.emit(Send{m})
 }
 
-// asking is another router's question for a loan that waits for this router's
-// escrow.
-type asking struct {
+// loanRequest is another router's request for a loan that waits until this router's escrow
+// is released.
+type loanRequest struct {
 	message Message
 	at      time.Time
 }
 
-// lend answers a router that is short of tokens: with what it needs and a part
-// of the rest, with all there is if that is less, since it may get the rest from
-// others, or with a refusal. What is only withheld is released first, by a write
-// of the page, if the store answers.
-func (a *Agent) lend(now time.Time, p *purse, m Message) {
-	if !a.closing && p.usable() < m.Need && p.escrow > 0 && !a.storeAway(p) {
-		p.loans = append(p.loans, asking{message: m, at: now})
+// lend answers a router that is short of tokens: with what it needs and a share of the
+// rest; with all usable tokens if they are fewer, since the router may get the rest from
+// others; or with a refusal. Tokens that are only held in escrow are released first, by a
+// write of the page, if the store answers.
+func (a *Agent) lend(now time.Time, p *pool, m Message) {
+	if !a.closing && p.usable() < m.Need && p.escrow > 0 && !a.storeUnavailable(p) {
+		p.loans = append(p.loans, loanRequest{message: m, at: now})
 		a.queue(now, pageOp{budget: p.id, awaited: true})
 		return
 	}
 	a.answerLoan(p, m)
 }
 
-func (a *Agent) answerLoan(p *purse, m Message) {
+func (a *Agent) answerLoan(p *pool, m Message) {
 	amount := int64(0)
 	if !a.closing && p.usable() > 0 {
-		amount = max(min(m.Need, p.usable()), min(m.Want, p.usable()/lentShare))
+		amount = max(min(m.Need, p.usable()), min(m.Want, p.usable()/lendDivisor))
 	}
 	loan := a.move(p, Loan, m.From, amount)
 	if amount == 0 {
@@ -108,10 +109,10 @@
 	a.emit(Send{loan})
 }
 
-// serveLoans answers the questions that the balance covers by now, and those
-// that have waited for long.
-func (a *Agent) serveLoans(now time.Time, p *purse) {
-	var waiting []asking
+// serveLoans answers the loan requests that the balance now covers, and those that have
+// waited too long.
+func (a *Agent) serveLoans(now time.Time, p *pool) {
+	var waiting []loanRequest
 	for _, l := range p.loans {
 		if p.escrow > 0 && p.usable() < l.message.Need && now.Sub(l.at) < a.cfg.LenderTimeout/2 {
 			waiting = append(waiting, l)
@@ -122,8 +123,8 @@
 	p.loans = waiting
 }
 
-// lent ends the question to a lender. What it lent is in the balance already.
-func (p *purse) lent(from string) {
+// finishLoan ends the request to a lender. The lent tokens are already in the balance.
+func (p *pool) finishLoan(from string) {
 	if p.borrowing.from == from {
 		p.borrowing.from = ""
 	}
@@ -132,8 +133,8 @@
 	}
 }
 
-// lenderSilent tells whether the asked router left the question open for too
-// long.
-func (p *purse) lenderSilent(now time.Time, timeout time.Duration) bool {
+// loanTimedOut reports whether the lender has left the request unanswered for at least
+// timeout.
+func (p *pool) loanTimedOut(now time.Time, timeout time.Duration) bool {
 	return p.borrowing.from != "" && now.Sub(p.borrowing.at) >= timeout
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -13,43 +13,43 @@
 
 const testBudget = "b"
 
-// router is one agent with what the network and the store owe it.
+// router is one agent with the store calls and requests that are outstanding.
 type router struct {
-	index, life int
-	machine     machine
-	agent       *budget.Agent
-	store       []budget.Effect // calls not yet answered
-	running     []int64         // reserved by dispatched requests
+	index, incarnationNumber int
+	machine                  machine
+	agent                    *budget.Agent
+	storeCalls               []budget.Effect // calls not yet answered
+	running                  []int64         // reserved by dispatched requests
 }
 
-func (r *router) incarnation() string { return fmt.Sprintf("r%d/%d", r.index, r.life) }
+func (r *router) incarnation() string { return fmt.Sprintf("r%d/%d", r.index, r.incarnationNumber) }
 
-// network drives agents through faults: messages are delivered late, twice,
-// out of order or not at all; store calls may be lost after they took effect.
+// network drives agents through faults: messages are delayed, duplicated, reordered or
+// lost; the answers of store calls may be lost after the calls took effect.
 type network struct {
-	t       *rapid.T
-	now     time.Time
-	page    *budget.Page
-	version int64
-	late    []budget.WritePage // sent, answer lost, not yet arrived
-	routers []*router
-	mail    []budget.Message
-	taken   map[string]bool // messages that were taken while a copy is on its way
-	spent   int64           // tokens served, by the backend servers' count
-	left    string          // a dead incarnation that is not yet reclaimed
-	dead    []string        // reclaimed ones
-	charged int64           // billed, and worst cases of dead attempts
-	home    int
-	waiting map[string]int64
+	t           *rapid.T
+	now         time.Time
+	page        *budget.Page
+	version     int64
+	lateWrites  []budget.WritePage // sent, answer lost, not yet arrived
+	routers     []*router
+	messages    []budget.Message
+	taken       map[string]bool // messages that were delivered while a copy is in transit
+	spent       int64           // tokens served, as counted by the backend servers
+	unreclaimed string          // a dead incarnation whose tokens are not yet reclaimed
+	reclaimed   []string        // reclaimed incarnations
+	charged     int64           // billed tokens, and the worst case of each attempt that died
+	home        int
+	waiting     map[string]int64
 
-	// The limit as the configuration gives it, and whether the store is known
-	// to be away; for routers that draw for themselves.
+	// The limit as the configuration sets it, and whether the store is known to be
+	// unavailable; for routers that draw for themselves.
 	limit, limitVersion int64
 	storeLost           bool
-	// tail keeps the last fiftieth of the budget for 15 s.
+	// tail makes the last fiftieth of the budget a tail with a TailTime of 15 s.
 	tail bool
-	// pooled makes one router the home of the budget for all.
-	pooled bool
+	// sharedHome makes one router the home of the budget for all.
+	sharedHome bool
 	// scarceWithin bounds what is held of a scarce budget.
 	scarceWithin time.Duration
 }
@@ -59,20 +59,20 @@
 	n.page.Budgets[testBudget] = &budget.Record{Limit: 30, Holders: map[string]int64{}}
 	for i := range 3 {
 		n.routers = append(n.routers, &router{index: i})
-		n.boot(n.routers[i])
+		n.startRouter(n.routers[i])
 	}
 	return n
 }
 
-func (n *network) boot(r *router) {
-	r.life++
-	r.store, r.running = nil, nil
+func (n *network) startRouter(r *router) {
+	r.incarnationNumber++
+	r.storeCalls, r.running = nil, nil
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: fmt.Sprintf("r%d", r.index), Incarnation: r.incarnation()}
 	cfg.Home = func(time.Time, string) string { return fmt.Sprintf("r%d", n.home) }
 	r.agent = budget.NewAgent(cfg)
-	for _, d := range n.dead {
+	for _, d := range n.reclaimed {
 		r.agent.Fence(d)
 	}
 }
@@ -81,7 +81,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case budget.Send:
-			n.mail = append(n.mail, e.Message)
+			n.messages = append(n.messages, e.Message)
 		case budget.Resolve:
 			key := fmt.Sprint(r.incarnation(), ":", e.Token)
 			if need, ok := n.waiting[key]; ok && e.OK {
@@ -91,7 +91,7 @@
 		case budget.AskAgain:
 			n.perform(r, r.agent.AskAgain(n.at(r), e.Budget))
 		case budget.ReadPage, budget.WritePage:
-			r.store = append(r.store, e)
+			r.storeCalls = append(r.storeCalls, e)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	n.perform(r, effects)
 }
 
-// finish ends a request: served, billed, then settled.
+// finish ends a request: it is served, billed and settled.
 func (n *network) finish(r *router, actual int64) {
 	if len(r.running) == 0 {
 		return
@@ -119,35 +119,36 @@
 	n.perform(r, r.agent.Settle(n.at(r), testBudget, need, actual))
 }
 
-// deliver brings a message to its receiver, or reports it undelivered.
-func (n *network) deliver(i int, fate string) {
-	if len(n.mail) == 0 {
+// deliver hands a message to its receiver, or reports it undelivered.
+func (n *network) deliver(i int, outcome string) {
+	if len(n.messages) == 0 {
 		return
 	}
-	i %= len(n.mail)
-	m := n.mail[i]
-	if fate != "twice" {
-		n.mail = append(n.mail[:i:i], n.mail[i+1:]...)
+	i %= len(n.messages)
+	m := n.messages[i]
+	if outcome != "twice" {
+		n.messages = append(n.messages[:i:i], n.messages[i+1:]...)
 	}
 	to := n.byID(m.To.ID)
-	if fate == "lost" {
+	if outcome == "lost" {
 		return
 	}
-	if fate == "refused" || !to.agent.Accepts(m) {
-		// Certain to its sender only if it is delivered at no other time: a call has one outcome.
-		if fate != "twice" && !n.taken[fmt.Sprint(m)] {
+	if outcome == "refused" || !to.agent.Accepts(m) {
+		// The sender learns this for certain only if no copy is delivered at another time:
+		// a call has one outcome.
+		if outcome != "twice" && !n.taken[fmt.Sprint(m)] {
 			n.undelivered(m, true)
 		}
 		return
 	}
-	if fate == "twice" {
-		n.take(m)
+	if outcome == "twice" {
+		n.markTaken(m)
 	}
 	n.perform(to, to.agent.Receive(n.at(to), m))
 }
 
-// take notes that a message was taken of which another copy is on its way.
-func (n *network) take(m budget.Message) {
+// markTaken records that a message was delivered of which another copy is in transit.
+func (n *network) markTaken(m budget.Message) {
 	if n.taken == nil {
 		n.taken = map[string]bool{}
 	}
@@ -170,47 +171,47 @@
 	panic(id)
 }
 
-// answer carries out a router's oldest store call with a fate.
-func (n *network) answer(r *router, fate string) {
-	if len(r.store) == 0 {
+// answer carries out a router's oldest store call with the given outcome.
+func (n *network) answer(r *router, outcome string) {
+	if len(r.storeCalls) == 0 {
 		return
 	}
-	e := r.store[0]
-	r.store = r.store[1:]
+	e := r.storeCalls[0]
+	r.storeCalls = r.storeCalls[1:]
 	switch e := e.(type) {
 	case budget.ReadPage:
-		if fate != "done" {
+		if outcome != "done" {
 			n.perform(r, r.agent.PageRead(n.at(r), 0, 0, nil, budget.Unavailable))
 			return
 		}
 		n.perform(r, r.agent.PageRead(n.at(r), 0, n.version, n.page.Clone(), budget.Done))
 	case budget.WritePage:
-		n.write(r, e, fate)
+		n.write(r, e, outcome)
 	}
 }
 
-func (n *network) write(r *router, e budget.WritePage, fate string) {
+func (n *network) write(r *router, e budget.WritePage, outcome string) {
 	result := budget.Done
 	var current *budget.Page
-	switch fate {
+	switch outcome {
 	case "unavailable":
 		result = budget.Unavailable
 	case "late":
-		n.late = append(n.late, e)
+		n.lateWrites = append(n.lateWrites, e)
 		result = budget.Lost
 	default:
-		if !n.put(e) {
+		if !n.applyWrite(e) {
 			result = budget.Conflict
 			current = n.page.Clone()
 		}
-		if fate == "lost" {
+		if outcome == "lost" {
 			result = budget.Lost
 		}
 	}
 	n.perform(r, r.agent.PageWritten(n.at(r), 0, n.version, result, current))
 }
 
-func (n *network) put(e budget.WritePage) bool {
+func (n *network) applyWrite(e budget.WritePage) bool {
 	if e.Version != n.version {
 		return false
 	}
@@ -219,36 +220,36 @@
 	return true
 }
 
-func (n *network) arrive() {
-	if len(n.late) > 0 {
-		n.put(n.late[0])
-		n.late = n.late[1:]
+func (n *network) applyLateWrite() {
+	if len(n.lateWrites) > 0 {
+		n.applyWrite(n.lateWrites[0])
+		n.lateWrites = n.lateWrites[1:]
 	}
 }
 
-// kill ends a router. Its requests served something up to their worst case,
+// kill ends a router process. Its requests may have been served up to their worst case,
 // which is what they are charged.
 func (n *network) kill(r *router) {
-	if n.left != "" {
-		return // what several leave together is written off, not reclaimed
+	if n.unreclaimed != "" {
+		return // tokens left by several dead routers together are written off, not reclaimed
 	}
 	for _, need := range r.running {
 		n.spent += need
 		n.charged += need
 	}
-	n.left = r.incarnation()
-	n.boot(r)
+	n.unreclaimed = r.incarnation()
+	n.startRouter(r)
 }
 
-// reclaim settles what one dead router left, in the order that the controller
-// keeps.
+// reclaim reclaims the tokens of one dead router, in the same order of steps as the
+// controller.
 func (n *network) reclaim() {
-	dead := n.left
+	dead := n.unreclaimed
 	if dead == "" {
 		return
 	}
-	n.left = ""
-	n.dead = append(n.dead, dead)
+	n.unreclaimed = ""
+	n.reclaimed = append(n.reclaimed, dead)
 	for _, r := range n.routers {
 		r.agent.Fence(dead)
 	}
@@ -278,23 +279,23 @@
 	}
 }
 
-// settle lets everything come to rest without further faults.
+// settle runs the network without further faults until it is idle.
 func (n *network) settle() {
 	for range 60 {
 		n.now = n.now.Add(time.Second)
-		n.arrive()
+		n.applyLateWrite()
 		for _, r := range n.routers {
 			for len(r.running) > 0 {
 				n.finish(r, 1)
 			}
 			n.perform(r, r.agent.Tick(n.at(r)))
-			for len(r.store) > 0 {
+			for len(r.storeCalls) > 0 {
 				n.answer(r, "done")
 			}
 		}
-		for i := 0; len(n.mail) > 0; i++ {
+		for i := 0; len(n.messages) > 0; i++ {
 			if i > 10000 {
-				n.t.Fatalf("messages without end: %+v", n.mail[0])
+				n.t.Fatalf("messages without end: %+v", n.messages[0])
 			}
 			n.deliver(0, "once")
 		}
@@ -303,17 +304,17 @@
 
 func actions(n *network) map[string]func(*rapid.T) {
 	pick := rapid.IntRange(0, 2)
-	some := rapid.Int64Range(1, 9)
-	storeFate := rapid.SampledFrom([]string{"done", "done", "done", "unavailable", "lost", "late"})
-	mailFate := rapid.SampledFrom([]string{"once", "once", "once", "twice", "lost", "refused"})
+	tokens := rapid.Int64Range(1, 9)
+	storeOutcome := rapid.SampledFrom([]string{"done", "done", "done", "unavailable", "lost", "late"})
+	messageOutcome := rapid.SampledFrom([]string{"once", "once", "once", "twice", "lost", "refused"})
 	return map[string]func(*rapid.T){
-		"reserve": func(t *rapid.T) { n.reserve(n.routers[pick.Draw(t, "router")], some.Draw(t, "need")) },
-		"finish":  func(t *rapid.T) { n.finish(n.routers[pick.Draw(t, "router")], some.Draw(t, "actual")) },
+		"reserve": func(t *rapid.T) { n.reserve(n.routers[pick.Draw(t, "router")], tokens.Draw(t, "need")) },
+		"finish":  func(t *rapid.T) { n.finish(n.routers[pick.Draw(t, "router")], tokens.Draw(t, "actual")) },
 		"deliver": func(t *rapid.T) {
-			n.deliver(rapid.IntRange(0, 5).Draw(t, "message"), mailFate.Draw(t, "fate"))
+			n.deliver(rapid.IntRange(0, 5).Draw(t, "message"), messageOutcome.Draw(t, "fate"))
 		},
-		"store":   func(t *rapid.T) { n.answer(n.routers[pick.Draw(t, "router")], storeFate.Draw(t, "fate")) },
-		"arrive":  func(*rapid.T) { n.arrive() },
+		"store":   func(t *rapid.T) { n.answer(n.routers[pick.Draw(t, "router")], storeOutcome.Draw(t, "fate")) },
+		"arrive":  func(*rapid.T) { n.applyLateWrite() },
 		"home":    func(t *rapid.T) { n.home = pick.Draw(t, "home") },
 		"kill":    func(t *rapid.T) { n.kill(n.routers[pick.Draw(t, "router")]) },
 		"reclaim": func(*rapid.T) { n.reclaim() },
@@ -327,8 +328,8 @@
 	}
 }
 
-// TestNeverOverspends drives three routers at random through lost, late and
-// repeated messages, lost answers, outages, deaths and reclaims.
+// TestNeverOverspends drives three routers through random faults: lost, late and
+// duplicated messages, lost answers, store outages, process deaths and reclaims.
 func TestNeverOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(t)
@@ -341,7 +342,7 @@
 	})
 }
 
-// anyAlive tells whether a waiting reservation belongs to a living process.
+// anyAlive reports whether a waiting reservation belongs to a live process.
 func anyAlive(n *network) bool {
 	for key := range n.waiting {
 		for _, r := range n.routers {
@@ -362,8 +363,8 @@
 	return budget.NewAgent(cfg), cfg.Self
 }
 
-// TestUndeliveredToFencedStaysGone is the case of a message that fails after
-// its receiver was reclaimed: its tokens went back to the budget with the
+// TestUndeliveredToFencedStaysGone guards against tokens that exist twice when a message
+// fails after its receiver was reclaimed: they went back to the budget with the
 // receiver's, so the sender must not take them back too.
 func TestUndeliveredToFencedStaysGone(t *testing.T) {
 	a, self := loneHome()
@@ -382,9 +383,9 @@
 	}
 }
 
-// TestSealedTakesNoTokens: a router that has returned everything and is about
-// to end its registration must not take tokens, and so not return them late.
-func TestSealedTakesNoTokens(t *testing.T) {
+// TestSealedAgentAcceptsNoTokens guards against a router that has returned everything and
+// is about to end its registration, but accepts tokens that it would have to return late.
+func TestSealedAgentAcceptsNoTokens(t *testing.T) {
 	a, self := loneHome()
 	now := time.Unix(1000, 0)
 	a.Close(now)
--- a/budget/strange_test.go
+++ b/budget/corrupt_page_test.go
@@ -7,10 +7,10 @@
 	"github.com/gaplink/gaplink/lab/mutate"
 )
 
-// TestStrangePagesEndNoProcess: every router reads the page, and each that starts anew
-// reads it again; one that made a router panic would end them all. A page that is taken
-// can be drawn from.
-func TestStrangePagesEndNoProcess(t *testing.T) {
+// TestCorruptPagesDoNotPanic guards against stored pages that make a router panic: every
+// router reads the page, and reads it again after a restart, so that such a page would end
+// them all. A page that decodes must be usable for draws.
+func TestCorruptPagesDoNotPanic(t *testing.T) {
 	good := NewPage()
 	good.Budgets["b"] = &Record{Account: "a", Limit: 100, Holders: map[string]int64{"r1/1": 10}}
 	good.Ops["r1/1"] = 3
@@ -20,7 +20,7 @@
 		_, err := guard.Call(func() (any, error) {
 			p, err := DecodePage(bad)
 			if err != nil {
-				return nil, nil // refused as a whole
+				return nil, nil // the page is rejected
 			}
 			p = p.Clone()
 			p.Ops["r2/1"] = 1
--- a/budget/demand_test.go
+++ b/budget/demand_test.go
@@ -9,10 +9,11 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// TestFormerHomeIsNotCountedTwice: the pattern is an outage of the store a few seconds
-// after the home of a budget has changed. The page tells the demand that the home before
-// met; it is the same that meets the new one, which held half of what it should, or less,
-// and was without tokens within a second of an outage of nine.
+// TestFormerHomeIsNotCountedTwice guards against a new home that holds too few tokens. The
+// page still records the demand that the former home served; the same demand now reaches
+// the new home. Counting it twice, the new home held half of its target or less, and ran
+// out of tokens within a second of an outage of nine seconds that began a few seconds
+// after the change of the home.
 func TestFormerHomeIsNotCountedTwice(t *testing.T) {
 	held := func(t *rapid.T, former int64) int64 {
 		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 30000, limitVersion: 1}
@@ -31,7 +32,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		alone := held(t, 0)
 		if with := held(t, rapid.Int64Range(1, 5000).Draw(t, "former demand")); with < alone {
-			t.Fatalf("%d tokens held, %d without a home before", with, alone)
+			t.Fatalf("%d tokens held, %d without a former home", with, alone)
 		}
 	})
 }
--- a/budget/entry.go
+++ b/budget/entry.go
@@ -2,144 +2,145 @@
 
 import "time"
 
-// This file is what a router does that is not the home of a budget: it asks the
-// home for tokens and gives back what it does not need.
+// This file implements what a router does for a budget of which it is not the home: it
+// asks the home for tokens and returns those it does not need.
 
-// holdsAhead tells whether an entry router holds tokens ahead of its requests:
-// while they are plenty, and if it has enough requests for the budget.
-func (a *Agent) holdsAhead(now time.Time, p *purse) bool {
-	return !p.scarce && float64(p.ahead(now, a.cfg.EntryHorizon)) >= a.cfg.EntryLeast*p.meanNeed
+// keepsBuffer reports whether an entry router holds tokens in advance of its requests:
+// while tokens are not scarce, and if it has enough requests for the budget.
+func (a *Agent) keepsBuffer(now time.Time, p *pool) bool {
+	return !p.scarce && float64(p.expectedDemand(now, a.cfg.EntryHorizon)) >= a.cfg.EntryLeast*p.meanNeed
 }
 
-// entryHold is what an entry router would hold of the budget.
-func (a *Agent) entryHold(now time.Time, p *purse) int64 {
-	if !a.holdsAhead(now, p) {
+// entryTarget returns how many tokens an entry router should hold of the budget.
+func (a *Agent) entryTarget(now time.Time, p *pool) int64 {
+	if !a.keepsBuffer(now, p) {
 		return 0
 	}
-	return p.ahead(now, a.cfg.EntryHorizon)
+	return p.expectedDemand(now, a.cfg.EntryHorizon)
 }
 
-// passedFor is for how long a home that was of no use is not asked again.
-const passedFor = 500 * time.Millisecond
+// skippedHomeTTL is how long a home that redirected or did not answer is not asked again.
+const skippedHomeTTL = 500 * time.Millisecond
 
-// passOver turns from a home to the next one.
-func (a *Agent) passOver(now time.Time, p *purse, id string) {
-	p.unask()
-	p.passedOver[id] = now
-	p.passing = true
+// skipHome turns from a home to the next one.
+func (a *Agent) skipHome(now time.Time, p *pool, id string) {
+	p.resetDraws()
+	p.skippedHomes[id] = now
+	p.awaitingNextHome = true
 	a.emit(Suspect{ID: id})
 	a.emit(AskAgain{Budget: p.id})
 }
 
-// AskAgain goes on with the home that a budget has now.
+// AskAgain continues with the current home of a budget.
 func (a *Agent) AskAgain(now time.Time, id string) []Effect {
-	p := a.purse(id)
-	p.passing = false
-	a.pump(now, p)
-	return a.drain()
+	p := a.pool(id)
+	p.awaitingNextHome = false
+	a.advance(now, p)
+	return a.takeEffects()
 }
 
-// refuseAsRound refuses what waits if the home was passed over just now: then every router
-// that could be it was asked. Homes that pass on to each other would go on without end.
-func (a *Agent) refuseAsRound(now time.Time, p *purse) bool {
-	passed, ok := p.passedOver[a.cfg.Home(now, p.id)]
-	if !ok || now.Sub(passed) >= passedFor {
+// refuseAfterFullRound refuses the waiting requests if the current home was skipped
+// recently: every router that could be the home has then been asked. Without it, homes
+// that redirect to each other would do so endlessly.
+func (a *Agent) refuseAfterFullRound(now time.Time, p *pool) bool {
+	skippedAt, ok := p.skippedHomes[a.cfg.Home(now, p.id)]
+	if !ok || now.Sub(skippedAt) >= skippedHomeTTL {
 		return false
 	}
 	a.refuseWaiters(p, Unreachable)
 	return true
 }
 
-// unreachedPause is how long a home that did not get a question is not asked again.
-const unreachedPause = 50 * time.Millisecond
+// unreachableHomePause is how long a home that did not receive a draw is not asked again.
+const unreachableHomePause = 50 * time.Millisecond
 
-// homeFails tells whether the last question did not reach the home that a budget has now.
-func (a *Agent) homeFails(now time.Time, p *purse) bool {
-	return p.failedHome != "" && p.failedHome == a.cfg.Home(now, p.id)
+// homeUnreachable reports whether the last draw did not reach the current home of a
+// budget.
+func (a *Agent) homeUnreachable(now time.Time, p *pool) bool {
+	return p.unreachableHome != "" && p.unreachableHome == a.cfg.Home(now, p.id)
 }
 
-// ask sends waiting reservations to the home: one at a time while tokens are held ahead, since
-// the answer brings more than one needs, or while the home does not get what is sent; else each
-// by itself.
-func (a *Agent) ask(now time.Time, p *purse) {
-	if p.passing || a.refuseAsRound(now, p) {
+// sendDraws sends draws for waiting reservations to the home: one at a time while the
+// router keeps a buffer, since the answer brings more than one needs, or while messages do
+// not reach the home; otherwise one draw per reservation.
+func (a *Agent) sendDraws(now time.Time, p *pool) {
+	if p.awaitingNextHome || a.refuseAfterFullRound(now, p) {
 		return
 	}
-	fails := a.homeFails(now, p)
-	if fails && now.Sub(p.failedAt) < unreachedPause {
+	unreachable := a.homeUnreachable(now, p)
+	if unreachable && now.Sub(p.unreachableAt) < unreachableHomePause {
 		return
 	}
 	for i := range p.waiters {
 		w := &p.waiters[i]
-		if !w.askedAt.IsZero() {
+		if !w.drawSentAt.IsZero() {
 			continue
 		}
-		if (fails || a.holdsAhead(now, p)) && p.asking() {
+		if (unreachable || a.keepsBuffer(now, p)) && p.drawPending() {
 			return
 		}
-		w.askedAt = now
+		w.drawSentAt = now
 		a.emit(Send{a.drawMessage(now, p, w.token, w.need)})
 	}
 }
 
-// drawMessage builds a draw. Unless tokens are held ahead it moves the balance
-// along, so that the home decides over all there is.
-func (a *Agent) drawMessage(now time.Time, p *purse, token uint64, need int64) Message {
-	p.askedOf = a.cfg.Home(now, p.id)
-	to := Peer{ID: p.askedOf}
-	if p.home.ID == p.askedOf {
+// drawMessage builds a draw. Unless the router keeps a buffer, the message also moves the
+// balance, so that the home decides over all tokens.
+func (a *Agent) drawMessage(now time.Time, p *pool, token uint64, need int64) Message {
+	p.drawTarget = a.cfg.Home(now, p.id)
+	to := Peer{ID: p.drawTarget}
+	if p.home.ID == p.drawTarget {
 		to = p.home
 	}
 	amount := int64(0)
-	if !a.holdsAhead(now, p) && to.Incarnation != "" && token != 0 {
+	if !a.keepsBuffer(now, p) && to.Incarnation != "" && token != 0 {
 		amount = max(p.balance, 0)
 	}
 	m := a.move(p, Draw, to, amount)
 	m.Token = token
 	m.Need = need
-	m.Want = max(a.entryHold(now, p), p.unmet())
+	m.Want = max(a.entryTarget(now, p), p.shortfall())
 	return m
 }
 
-// giveBack sends the whole balance to a peer, also when it is empty: the
-// message is the answer to a recall.
-func (a *Agent) giveBack(p *purse, to Peer) {
+// returnToPeer sends the whole usable balance to a peer, even if it is empty: the message
+// is the answer to a recall.
+func (a *Agent) returnToPeer(p *pool, to Peer) {
 	a.emit(Send{a.move(p, Back, to, max(p.usable(), 0))})
 }
 
-// giveBackSurplus returns an unused balance to the home unless tokens are held
-// ahead, so that they are where the next request is decided.
-func (a *Agent) giveBackSurplus(now time.Time, p *purse) {
-	if p.balance <= 0 || p.waiting() || a.closing || a.isHome(now, p.id) || a.holdsAhead(now, p) {
+// returnSurplus returns an unused balance to the home unless the router keeps a buffer, so
+// that the tokens are where the next request is decided.
+func (a *Agent) returnSurplus(now time.Time, p *pool) {
+	if p.balance <= 0 || p.waiting() || a.closing || a.isHome(now, p.id) || a.keepsBuffer(now, p) {
 		return
 	}
 	switch {
 	case a.homeKnown(now, p):
-		a.giveBack(p, p.home)
+		a.returnToPeer(p, p.home)
 	case p.scarce:
 		a.returnToStore(now, p)
 	}
 }
 
 // returnToStore queues the whole balance for return.
-func (a *Agent) returnToStore(now time.Time, p *purse) {
+func (a *Agent) returnToStore(now time.Time, p *pool) {
 	amount := p.balance
 	p.balance = 0
 	a.queue(now, pageOp{budget: p.id, need: -amount})
 }
 
-// homeKnown tells whether the present home is another router whose
-// incarnation is known.
-func (a *Agent) homeKnown(now time.Time, p *purse) bool {
+// homeKnown reports whether the current home is another router whose incarnation is known.
+func (a *Agent) homeKnown(now time.Time, p *pool) bool {
 	if home := a.cfg.Home(now, p.id); p.home.ID != home && a.cfg.Running != nil {
 		p.home = a.cfg.Running(home)
 	}
 	return p.home.Incarnation != "" && p.home.ID != a.cfg.Self.ID && p.home.ID == a.cfg.Home(now, p.id)
 }
 
-// returnIdle returns a balance that nothing uses: to the home, or from the
-// home (and from a closing router) to the store.
-func (a *Agent) returnIdle(now time.Time, p *purse) {
+// returnIdle returns a balance that nothing uses: to the home, or from the home (and from
+// a closing router) to the store.
+func (a *Agent) returnIdle(now time.Time, p *pool) {
 	if a.closing && a.handOver(now, p) {
 		return
 	}
@@ -147,26 +148,26 @@
 		return
 	}
 	if a.homeKnown(now, p) && !a.closing {
-		a.giveBack(p, p.home)
+		a.returnToPeer(p, p.home)
 		return
 	}
 	a.returnToStore(now, p)
 }
 
-// handOver gives a stopping router's tokens to another while the store does
-// not answer; false means that they go to the store.
-func (a *Agent) handOver(now time.Time, p *purse) bool {
+// handOver gives a stopping router's tokens to another router while the store does not
+// answer; it returns false if they should go to the store.
+func (a *Agent) handOver(now time.Time, p *pool) bool {
 	if a.cfg.StoreLost == nil || a.cfg.Lenders == nil || !a.cfg.StoreLost() {
 		return false
 	}
-	heirs := a.cfg.Lenders(now, p.id)
-	if len(heirs) == 0 || heirs[0].Incarnation == "" {
+	lenders := a.cfg.Lenders(now, p.id)
+	if len(lenders) == 0 || lenders[0].Incarnation == "" {
 		return false
 	}
 	a.unqueueReturns(p)
 	a.refreshEscrow(now, p)
 	if p.usable() > 0 {
-		a.giveBack(p, heirs[0])
+		a.returnToPeer(p, lenders[0])
 	}
 	return true
 }
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -12,8 +12,8 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// openHorizon and releaseWithin are the schedule by which the routers of the tests
-// release what they withhold.
+// openHorizon and the release constants define the schedule by which the routers in the
+// tests release their escrow.
 const (
 	openHorizon   = 1500 * time.Millisecond
 	releaseSpeed  = 1.1
@@ -21,11 +21,11 @@
 	releaseWithin = 10 * time.Second
 )
 
-// epoch is when all machines of the tests were booted.
+// epoch is the boot time of all machines in the tests.
 var epoch = time.Unix(0, 0)
 
-// ownHomeConfig is the configuration of a router that draws for itself,
-// borrows from the others and keeps an escrow.
+// ownHomeConfig returns the configuration of a router that draws for itself, borrows from
+// the others and keeps an escrow.
 func ownHomeConfig(id, incarnation string, started time.Time, lenders []budget.Peer) budget.Config {
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
@@ -42,10 +42,10 @@
 	return cfg
 }
 
-// bootOwnHome starts a process of the router that is its own home.
+// bootOwnHome starts a process of a router that is its own home.
 func (n *network) bootOwnHome(r *router) {
-	r.life++
-	r.store, r.running = nil, nil
+	r.incarnationNumber++
+	r.storeCalls, r.running = nil, nil
 	var lenders []budget.Peer
 	for _, other := range n.routers {
 		if other != r {
@@ -60,8 +60,8 @@
 	}
 	cfg.Routers = func() int { return len(n.routers) }
 	cfg.ScarceWithin = n.scarceWithin
-	if n.pooled {
-		n.pool(&cfg)
+	if n.sharedHome {
+		n.setSharedHome(&cfg)
 	}
 	r.agent = budget.NewAgent(cfg)
 	n.perform(r, r.agent.SetLimits(n.at(r), n.limits()))
@@ -71,8 +71,8 @@
 	return map[string]budget.Limit{testBudget: {Account: "a", Tokens: n.limit, Version: n.limitVersion}}
 }
 
-// crash ends a process; its requests served something up to their worst case.
-// Its messages and late writes may still arrive.
+// crash ends a process; its requests may have been served up to their worst case. Its
+// messages and late writes may still arrive.
 func (n *network) crash(r *router) {
 	for _, need := range r.running {
 		n.spent += need
@@ -80,12 +80,12 @@
 	n.bootOwnHome(r)
 }
 
-// raise changes the limit and tells some routers of it.
-func (n *network) raise(by int64, told func() bool) {
-	n.limit += by
+// raise changes the limit and sends the new one to some routers.
+func (n *network) raise(tokens int64, informed func() bool) {
+	n.limit += tokens
 	n.limitVersion++
 	for _, r := range n.routers {
-		if told() {
+		if informed() {
 			n.perform(r, r.agent.SetLimits(n.at(r), n.limits()))
 		}
 	}
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestEscrowNeverOverspends drives three routers that draw for themselves
-// through lost, late and repeated messages and writes, outages, top-ups, planned
-// stops, and deaths of one or all.
+// TestEscrowNeverOverspends drives three routers that draw for themselves through lost,
+// late and duplicated messages and writes, store outages, top-ups, planned stops, and
+// deaths of one or all processes.
 func TestEscrowNeverOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 200, limitVersion: 1}
@@ -180,23 +180,23 @@
 	return all
 }
 
-// drive answers all store calls of a router.
+// drive ticks a router for two seconds and answers all its store calls.
 func (n *network) drive(r *router) {
 	for range 20 {
 		n.perform(r, r.agent.Tick(n.at(r)))
-		for len(r.store) > 0 {
+		for len(r.storeCalls) > 0 {
 			n.answer(r, "done")
 		}
 		n.now = n.now.Add(100 * time.Millisecond)
 	}
 }
 
-// serve has a router serve ten requests of 100 tokens a second.
+// serve has a router serve requests of 100 tokens, ten per second.
 func (n *network) serve(r *router, requests int) {
 	for range requests {
 		n.reserve(r, 100)
 		n.perform(r, r.agent.Tick(n.at(r)))
-		for len(r.store) > 0 {
+		for len(r.storeCalls) > 0 {
 			n.answer(r, "done")
 		}
 		n.finish(r, 100)
@@ -204,8 +204,8 @@
 	}
 }
 
-// lonely returns a network of one router that has served some requests.
-func lonely(t *rapid.T) (*network, *router) {
+// newSingleRouter returns a network of one router that has served some requests.
+func newSingleRouter(t *rapid.T) (*network, *router) {
 	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 100000, limitVersion: 1}
 	r := &router{index: 0}
 	n.routers = []*router{r}
@@ -216,12 +216,12 @@
 
 func (n *network) free() int64 { return n.page.Budgets[testBudget].Free() }
 
-// TestSuccessorTakesEscrowBack: a process that starts soon after the death of
-// the one before it takes back what that one had set aside; one that starts
-// later does not.
-func TestSuccessorTakesEscrowBack(t *testing.T) {
+// TestSuccessorReclaimsEscrow: a process that starts soon after the death of its
+// predecessor reclaims the predecessor's escrow; one that starts after the escrow was
+// released does not.
+func TestSuccessorReclaimsEscrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, r := lonely(t)
+		n, r := newSingleRouter(t)
 		before := n.free()
 		held := r.agent.Holding(testBudget).Balance
 		if held == 0 {
@@ -236,15 +236,15 @@
 		n.drive(r)
 		regained := n.free() + r.agent.Holding(testBudget).Balance - before
 		if late && regained > 0 {
-			t.Fatalf("%d tokens taken back although the process may have used them", regained)
+			t.Fatalf("%d tokens reclaimed although the process may have used them", regained)
 		}
 		if !late && regained <= 0 {
-			t.Fatalf("nothing taken back of %d tokens held", held)
+			t.Fatalf("nothing reclaimed of %d tokens held", held)
 		}
 	})
 }
 
-// withheld returns what the page still withholds from its holders now.
+// withheld returns the tokens of the page that are still in escrow now.
 func (n *network) withheld() (tokens int64) {
 	for _, e := range n.page.Escrows {
 		part := e.Parts[testBudget]
@@ -258,13 +258,13 @@
 	return tokens
 }
 
-// TestEscrowIsReleasedBySchedule: while the store is away, a router uses what
-// the schedule has released at that time, and no more.
+// TestEscrowIsReleasedBySchedule: while the store is unavailable, a router uses the tokens
+// that the schedule has released by then, and no more.
 func TestEscrowIsReleasedBySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, r := lonely(t)
+		n, r := newSingleRouter(t)
 		n.reserve(r, 1)
-		for len(r.store) > 0 {
+		for len(r.storeCalls) > 0 {
 			n.answer(r, "done")
 		}
 		if n.withheld() == 0 {
@@ -274,7 +274,7 @@
 		var served int64
 		for range rapid.IntRange(1, 4).Draw(t, "steps") {
 			n.now = n.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
-			served += n.serveAway(r)
+			served += n.serveWithoutStore(r)
 			released := held - n.withheld()
 			if served > released || served < released-10 {
 				t.Fatalf("%d tokens used of %d held, %d were released", served, held, released)
@@ -283,13 +283,13 @@
 	})
 }
 
-// serveAway serves requests of 10 tokens while the store is away, until one is
-// refused, and returns the tokens used.
-func (n *network) serveAway(r *router) (tokens int64) {
+// serveWithoutStore serves requests of 10 tokens while the store is unavailable, until one
+// is refused, and returns the tokens used.
+func (n *network) serveWithoutStore(r *router) (tokens int64) {
 	for {
 		running := len(r.running)
 		n.reserve(r, 10)
-		for len(r.store) > 0 {
+		for len(r.storeCalls) > 0 {
 			n.answer(r, "unavailable")
 		}
 		if len(r.running) == running {
@@ -299,11 +299,11 @@
 	}
 }
 
-// TestLoweredLimitIsHandedBack: what a router holds of a budget that is lowered
-// goes back to the store, and no more than the new limit is issued.
-func TestLoweredLimitIsHandedBack(t *testing.T) {
+// TestBalanceOfLoweredLimitIsReturned: what a router holds of a budget whose limit is
+// lowered goes back to the store, and no more than the new limit is issued.
+func TestBalanceOfLoweredLimitIsReturned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, r := lonely(t)
+		n, r := newSingleRouter(t)
 		n.raise(-89500, func() bool { return true }) // 10500 remain, 10000 of them spent
 		n.drive(r)
 		if free := n.free(); free < 0 {
--- a/budget/hold.go
+++ b/budget/hold.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// This file is how much of a budget a home holds ahead of its requests.
+// This file computes how many tokens a home holds in advance of its requests.
 
-// hold is what a home would hold of the budget: its demand in the horizon, a
-// few requests' worth of one that is asked for seldom, and no more than its
-// share of what is left.
-func (a *Agent) hold(now time.Time, p *purse) int64 {
-	want := max(p.ahead(now, a.cfg.HomeHorizon), int64(a.cfg.HeldRequests*p.meanNeed), a.starter(p))
+// targetBalance returns how many tokens a home should hold of the budget: its demand
+// within HomeHorizon, at least a few requests' worth for a budget that is rarely used, and
+// at most its fair share of what is left.
+func (a *Agent) targetBalance(now time.Time, p *pool) int64 {
+	want := max(p.expectedDemand(now, a.cfg.HomeHorizon), int64(a.cfg.HeldRequests*p.meanNeed), a.initialBalance(p))
 	return min(want, a.fairShare(now, p))
 }
 
-// starter is what a home holds of a budget that it knows no demand for, so that
-// the first requests need not wait for the store.
-func (a *Agent) starter(p *purse) int64 {
+// initialBalance returns what a home holds of a budget for which it has no demand
+// estimate, so that the first requests need not wait for the store.
+func (a *Agent) initialBalance(p *pool) int64 {
 	limit, known := a.limits[p.id]
 	if a.cfg.StarterShare == 0 || !known {
 		return 0
@@ -25,19 +25,19 @@
 	return int64(a.cfg.StarterShare * float64(limit.Tokens) / float64(a.cfg.Routers()))
 }
 
-// low is the balance at which a home draws more.
-func (a *Agent) low(now time.Time, p *purse) int64 {
+// refillThreshold returns the balance below which a home draws more.
+func (a *Agent) refillThreshold(now time.Time, p *pool) int64 {
 	horizon := time.Duration(float64(a.cfg.HomeHorizon) * a.cfg.RefillBelow)
-	starter := int64(a.cfg.RefillBelow * float64(a.starter(p)))
-	low := max(p.ahead(now, horizon), int64(a.cfg.LowRequests*p.meanNeed), starter)
-	return min(low, int64(float64(a.fairShare(now, p))*a.cfg.RefillBelow))
+	initial := int64(a.cfg.RefillBelow * float64(a.initialBalance(p)))
+	threshold := max(p.expectedDemand(now, horizon), int64(a.cfg.LowRequests*p.meanNeed), initial)
+	return min(threshold, int64(float64(a.fairShare(now, p))*a.cfg.RefillBelow))
 }
 
-// fairShare bounds what a home holds ahead by how long the store's free tokens
-// would last at the fleet's demand. Of a budget that lasts long much is held, for
-// an outage of the store. Of one that runs out soon little is: all of it will be
-// used anyway, and what is held may be lost with the router.
-func (a *Agent) fairShare(now time.Time, p *purse) int64 {
+// fairShare bounds what a home holds in advance by how long the store's free tokens would
+// last at the fleet's demand. It is large for a budget that lasts long, to cover an outage
+// of the store. It is small for one that runs out soon: all of it will be used anyway, and
+// what is held may be lost with the router.
+func (a *Agent) fairShare(now time.Time, p *pool) int64 {
 	r := a.record(p)
 	if a.cfg.ScarceWithin == 0 || r == nil {
 		return math.MaxInt64 / 2
@@ -47,16 +47,17 @@
 	if fleet == 0 {
 		return int64(free) / int64(a.cfg.Routers())
 	}
-	lasts := free / fleet // seconds
+	lasts := free / fleet // in seconds
 	share := lasts / (lasts + a.cfg.ScarceWithin.Seconds())
 	return int64(free * share * own / fleet)
 }
 
-// demands returns this router's demand for a budget and that of all routers, as
-// far as the page tells, in tokens a second. Where one router draws for all, its demand
-// is the fleet's: what the page tells of others was met by homes before, and is the same.
-func (a *Agent) demands(now time.Time, p *purse) (own, fleet float64) {
-	own = float64(p.ahead(now, time.Second))
+// demands returns the demand for a budget at this router and at all routers, as far as the
+// page records it, in tokens per second. If a single router draws for all, its own demand
+// is the fleet's: the demand recorded for other holders was served by former homes and is
+// the same demand.
+func (a *Agent) demands(now time.Time, p *pool) (own, fleet float64) {
+	own = float64(p.expectedDemand(now, time.Second))
 	fleet = own
 	if a.cfg.Routers() == 1 {
 		return own, fleet
--- a/budget/holding.go
+++ b/budget/holding.go
@@ -4,33 +4,32 @@
 
 // Holding is what one router holds of a budget, in tokens.
 type Holding struct {
-	// Balance is free to use, Reserved is in use by running requests.
+	// Balance is free to use; Reserved is held by running requests.
 	Balance, Reserved int64
-	// Writing is being drawn from or returned to the store by a write whose
-	// outcome is not known here yet.
+	// Writing is being drawn from or returned to the store by a write whose outcome is not
+	// known here yet.
 	Writing int64
-	// Unrecorded was spent by requests whose bill no shard owner has yet.
+	// Unrecorded was spent by requests whose bill has not reached a shard owner yet.
 	Unrecorded int64
-	// Sent and Received are the sums ever moved to and from other routers, by
+	// Sent and Received are the cumulative totals moved to and from other routers, by
 	// incarnation.
 	Sent, Received map[string]int64
 }
 
-// Seen is what a decision over a reservation goes by.
+// Seen is the data that a reservation decision is based on.
 type Seen struct {
-	// Usable is the balance less the escrow, Reserved is in use by running
-	// requests.
+	// Usable is the balance less the escrow; Reserved is held by running requests.
 	Usable, Reserved int64
-	// Free is what the store had free, Limit the budget's limit, as read with
-	// the page's Version, Age ago. A Version of 0 means that it was never read.
+	// Free is what the store had left to issue and Limit the budget's limit, as read with
+	// the page's Version, Age ago. A Version of 0 means that the page was never read.
 	Free, Limit int64
 	Version     int64
 	Age         time.Duration
 }
 
-// Seen returns what the next decision over a budget would go by.
+// Seen returns the data that the next decision on a budget would be based on.
 func (a *Agent) Seen(now time.Time, id string) Seen {
-	p, ok := a.purses[id]
+	p, ok := a.pools[id]
 	if !ok {
 		return Seen{}
 	}
@@ -45,18 +44,17 @@
 	return s
 }
 
-// Fence makes messages of an incarnation void, from now on. Nothing more is
-// sent to it either: what it was sent before is reclaimed, what came later
-// would be lost.
+// Fence voids all later messages of an incarnation. Nothing more is sent to it either:
+// what it was sent before is reclaimed, but what was sent afterwards would be lost.
 func (a *Agent) Fence(incarnation string) {
 	a.fenced[incarnation] = true
-	for _, p := range a.purses {
-		p.forget(incarnation)
+	for _, p := range a.pools {
+		p.removeIncarnation(incarnation)
 	}
 }
 
-// forget drops what ties a purse to a fenced incarnation.
-func (p *purse) forget(incarnation string) {
+// removeIncarnation drops a fenced incarnation from the pool's peers.
+func (p *pool) removeIncarnation(incarnation string) {
 	if p.home.Incarnation == incarnation {
 		p.home = Peer{}
 	}
@@ -72,32 +70,32 @@
 
 // Holding returns what this router holds of a budget.
 func (a *Agent) Holding(id string) Holding {
-	p, ok := a.purses[id]
+	p, ok := a.pools[id]
 	if !ok {
 		return Holding{}
 	}
 	return Holding{
 		Balance:  p.balance,
 		Reserved: p.reserved,
-		Writing:  a.writing(id),
-		Sent:     copied(p.sent),
-		Received: copied(p.received),
+		Writing:  a.tokensInFlight(id),
+		Sent:     nonZero(p.sent),
+		Received: nonZero(p.received),
 	}
 }
 
-// Holdings returns what this router holds of all budgets that it used.
+// Holdings returns what this router holds of every budget that it has used.
 func (a *Agent) Holdings() map[string]Holding {
-	all := make(map[string]Holding, len(a.purses))
-	for id := range a.purses {
+	all := make(map[string]Holding, len(a.pools))
+	for id := range a.pools {
 		all[id] = a.Holding(id)
 	}
 	return all
 }
 
-// writing sums what is on its way to or from the store. A draw that has taken
-// effect is issued but not yet in the balance; a return has left the balance
-// and may still be issued.
-func (a *Agent) writing(id string) int64 {
+// tokensInFlight sums the tokens of draws and returns whose store write is not finished. A
+// draw that has taken effect is issued but not yet in the balance; a return has left the
+// balance and may still be issued.
+func (a *Agent) tokensInFlight(id string) int64 {
 	ps, ok := a.pages[PageOf(id, a.cfg.Pages)]
 	if !ok {
 		return 0
@@ -119,7 +117,7 @@
 	return sum
 }
 
-func copied(m map[string]int64) map[string]int64 {
+func nonZero(m map[string]int64) map[string]int64 {
 	c := make(map[string]int64, len(m))
 	for k, v := range m {
 		if v != 0 {
@@ -129,10 +127,10 @@
 	return c
 }
 
-// Stranded returns the tokens that are issued and neither held by a live
-// holder, nor on the way between two live ones, nor charged. It errs towards
-// less, provided that, in this order: the fence stood at all live routers,
-// issued was read, the holdings were read, and the charges were read.
+// Stranded returns the tokens that are issued and neither held by a live holder, nor in
+// transit between two live ones, nor charged. It never overestimates, provided that, in
+// this order: the fence was in place at all live routers, issued was read, the holdings
+// were read, and the charges were read.
 func Stranded(issued int64, live map[string]Holding, charged int64) int64 {
 	left := issued - charged
 	for _, h := range live {
--- a/budget/limits.go
+++ b/budget/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limit is a budget as the operator's configuration gives it.
+// Limit is the limit of a budget as the operator's configuration sets it.
 type Limit struct {
 	// Account is the client account that owns the budget.
 	Account string
@@ -12,8 +12,8 @@
 	Version int64
 }
 
-// SetLimits takes the budgets of a configuration. A budget that is lowered is
-// handed back whole and drawn anew, since what was issued may pass the new
+// SetLimits applies the budgets of a configuration. The whole balance of a budget whose
+// limit is lowered is returned and drawn anew, since the issued tokens may exceed the new
 // limit; a router that cannot reach the store then has none of it.
 func (a *Agent) SetLimits(now time.Time, limits map[string]Limit) []Effect {
 	for id, next := range limits {
@@ -23,39 +23,39 @@
 		}
 		a.limits[id] = next
 		if a.cfg.StarterShare > 0 {
-			a.purse(id).lastUse = now
+			a.pool(id).lastUse = now
 		}
 		if known && next.Tokens < old.Tokens {
-			a.handBack(now, id)
+			a.returnLowered(now, id)
 		}
 		if known && next.Tokens > old.Tokens {
-			a.raised(id)
+			a.limitRaised(id)
 		}
 	}
 	for n, ps := range a.pages {
 		a.applyLimits(n, ps)
 	}
-	return a.drain()
+	return a.takeEffects()
 }
 
-// handBack returns the balance of a lowered budget to the store.
-func (a *Agent) handBack(now time.Time, id string) {
-	p, held := a.purses[id]
+// returnLowered returns the balance of a budget whose limit was lowered to the store.
+func (a *Agent) returnLowered(now time.Time, id string) {
+	p, held := a.pools[id]
 	if held && p.balance > 0 {
-		a.returnToStore(now, a.purse(id))
+		a.returnToStore(now, a.pool(id))
 	}
 }
 
-// raised makes the next reservation look into the store again.
-func (a *Agent) raised(id string) {
-	if p, held := a.purses[id]; held {
+// limitRaised makes the next reservation query the store again.
+func (a *Agent) limitRaised(id string) {
+	if p, held := a.pools[id]; held {
 		p.scarce = false
 		p.shortAt = time.Time{}
 	}
 }
 
-// applyLimits brings the router's copy of a page up to the limits it knows. A
-// page that was written by a router with a newer configuration keeps its own.
+// applyLimits updates the router's copy of a page to the limits it knows. A page that was
+// written by a router with a newer configuration keeps its own.
 func (a *Agent) applyLimits(n int, ps *pageState) {
 	if !ps.have {
 		return
@@ -74,10 +74,10 @@
 	}
 }
 
-// shedOverdrawn returns balances of budgets of which more is issued than their
-// limit: the limit was lowered while this or another router drew.
-func (a *Agent) shedOverdrawn(now time.Time, n int, ps *pageState) {
-	for _, p := range a.awake {
+// returnOverissued returns the balances of budgets whose issued tokens exceed the limit:
+// the limit was lowered while this or another router drew.
+func (a *Agent) returnOverissued(now time.Time, n int, ps *pageState) {
+	for _, p := range a.active {
 		if p.page != n || p.balance <= 0 {
 			continue
 		}
--- a/budget/machine_test.go
+++ b/budget/machine_test.go
@@ -10,24 +10,24 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// machine is where the processes of a router run, with its two clocks.
+// machine is the host of a router's processes, with its two clocks.
 type machine struct {
-	// boots counts the losses of power, and bootIDs the boot ids told so far: not
-	// every boot tells a new one.
+	// boots counts the power losses, bootIDs the boot IDs so far: not every boot has a new
+	// one.
 	boots, bootIDs int
-	// booted is the true time at which the steady clock read zero.
+	// booted is the true time at which the monotonic clock read zero.
 	booted time.Time
-	// suspended is how long the machine stood still in all; its processes and its
-	// steady clock do not count that.
+	// suspended is the total time the machine was suspended; its processes and its
+	// monotonic clock do not count it.
 	suspended time.Duration
-	// ahead is how far the time of day is ahead of the true time.
-	ahead time.Duration
+	// clockOffset is how far the wall clock is ahead of the true time.
+	clockOffset time.Duration
 }
 
-// at returns the time by which a router's process goes.
+// at returns the current time as seen by a router's process.
 func (n *network) at(r *router) time.Time { return n.now.Add(-r.machine.suspended) }
 
-// setClocks gives a process the clocks of its machine.
+// setClocks configures a process with the clocks of its machine.
 func (n *network) setClocks(r *router, cfg *budget.Config) {
 	m := &r.machine
 	if m.booted.IsZero() {
@@ -36,12 +36,12 @@
 	booted := m.booted
 	cfg.Boot = fmt.Sprintf("boot %d of r%d", m.bootIDs, r.index)
 	cfg.Uptime = func(now time.Time) time.Duration { return now.Sub(booted) }
-	cfg.TimeOfDay = func() time.Time { return n.now.Add(m.ahead) }
+	cfg.TimeOfDay = func() time.Time { return n.now.Add(m.clockOffset) }
 	cfg.StartedOfDay = cfg.TimeOfDay()
 }
 
-// losePower ends a router's process, and its machine starts again: its steady clock
-// starts anew, its boot id may be the old one.
+// losePower ends a router's process and reboots its machine: the monotonic clock restarts;
+// the boot ID may stay the same.
 func (n *network) losePower(t *rapid.T, r *router) {
 	n.endPower(r, rapid.Bool().Draw(t, "new boot id"), time.Duration(rapid.IntRange(0, 2500).Draw(t, "off ms"))*time.Millisecond)
 }
@@ -57,27 +57,27 @@
 	n.crash(r)
 }
 
-// suspend lets a machine stand still for a while.
+// suspend suspends a machine for a while.
 func (n *network) suspend(t *rapid.T, r *router) {
 	d := time.Duration(rapid.IntRange(1, 9000).Draw(t, "suspended ms")) * time.Millisecond
 	n.now = n.now.Add(d)
 	r.machine.suspended += d
 }
 
-// farthestStep is how far the time of day of a machine may be off.
-const farthestStep = 6 * time.Second
+// maxOffset is how far the wall clock of a machine may be off.
+const maxOffset = 6 * time.Second
 
-// setTimeOfDay sets the time of day of a machine.
+// setTimeOfDay sets the wall clock of a machine.
 func (n *network) setTimeOfDay(t *rapid.T, r *router) {
-	most := int(farthestStep / time.Millisecond)
-	r.machine.ahead = time.Duration(rapid.IntRange(-most, most).Draw(t, "ahead ms")) * time.Millisecond
+	most := int(maxOffset / time.Millisecond)
+	r.machine.clockOffset = time.Duration(rapid.IntRange(-most, most).Draw(t, "ahead ms")) * time.Millisecond
 }
 
-// TestClockThatStartsAnewGivesNothingTwice is the sequence by which tokens could be
-// handed out twice under one boot id: a process withholds, the store goes away, the
-// process uses what the schedule releases, the machine loses power, and a process that
-// starts when the new clock reads a little more than the old one did at the write takes
-// the entry for one of just now. The processes between may all die before they write.
+// TestClockThatStartsAnewGivesNothingTwice guards against tokens issued twice under one
+// boot ID. A process puts tokens in escrow, the store becomes unavailable, the process
+// uses what the schedule releases, and the machine loses power. A later process, which
+// starts when the new clock reads slightly more than the old one did at the write, takes
+// the entry for a recent one. All processes in between may die before they write.
 func TestClockThatStartsAnewGivesNothingTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 100000, limitVersion: 1}
@@ -88,7 +88,7 @@
 		n.bootOwnHome(r)
 		n.serve(r, rapid.IntRange(10, 100).Draw(t, "requests"))
 		for range rapid.IntRange(1, 2).Draw(t, "losses of power") {
-			n.dieThroughAnOutage(t, r)
+			n.dieDuringOutage(t, r)
 		}
 		n.drive(r)
 		n.checkSpent()
@@ -99,13 +99,14 @@
 	})
 }
 
-// dieThroughAnOutage has a router use what it holds while the store is away, lose power,
-// die again before it writes, and start when its new clock is close to what the page says.
-func (n *network) dieThroughAnOutage(t *rapid.T, r *router) {
+// dieDuringOutage has a router use what it holds while the store is unavailable, lose
+// power, die again before it writes, and start when its new clock is close to the time in
+// the page.
+func (n *network) dieDuringOutage(t *rapid.T, r *router) {
 	wrote := n.at(r).Sub(r.machine.booted)
 	for range rapid.IntRange(0, 8).Draw(t, "seconds away") {
 		n.now = n.now.Add(time.Second)
-		n.serveAway(r)
+		n.serveWithoutStore(r)
 		n.settleAll(r)
 	}
 	n.endPower(r, false, time.Duration(rapid.IntRange(0, 2500).Draw(t, "off ms"))*time.Millisecond)
@@ -122,26 +123,26 @@
 	n.drive(r)
 }
 
-// settleAll ends all requests of a router at their worst.
+// settleAll ends all requests of a router at their worst case.
 func (n *network) settleAll(r *router) {
 	for len(r.running) > 0 {
 		n.finish(r, r.running[0])
 	}
 }
 
-// TestNothingProvesAnAgeNothingIsTakenBack: a process whose time of day was set, or whose
-// machine had run too shortly to tell a start anew, leaves its tokens spent; a late start
-// of the process after it, at clocks that agree, does not bring them back either.
-func TestNothingProvesAnAgeNothingIsTakenBack(t *testing.T) {
+// TestUnprovenAgeReclaimsNothing: if the wall clock was adjusted, or the uptime of the
+// machine was too short to detect a clock restart, the tokens in escrow stay spent; a late
+// start of the following process, with clocks that agree, does not bring them back either.
+func TestUnprovenAgeReclaimsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, r := lonely(t)
+		n, r := newSingleRouter(t)
 		young := rapid.Bool().Draw(t, "young machine")
 		if young {
 			r.machine.booted = n.now
 			n.bootOwnHome(r)
 			n.serve(r, 50)
 		} else {
-			r.machine.ahead = 2 * time.Second
+			r.machine.clockOffset = 2 * time.Second
 		}
 		held := n.free() + r.agent.Holding(testBudget).Balance
 		n.crash(r)
@@ -149,7 +150,7 @@
 		n.drive(r)
 		n.checkSpent()
 		if now := n.free() + r.agent.Holding(testBudget).Balance; now >= held {
-			t.Fatalf("%d tokens to be had, %d before the death", now, held)
+			t.Fatalf("%d tokens available, %d before the death", now, held)
 		}
 	})
 }
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -7,21 +7,21 @@
 
 // The causes of a refusal.
 const (
-	// Exhausted: the store and the known holders have too little left.
+	// Exhausted: the store and the known holders have too few tokens left.
 	Exhausted Cause = "exhausted"
-	// Unreachable: tokens may be left, but store or home did not answer.
+	// Unreachable: tokens may be left, but the store or the home did not answer.
 	Unreachable Cause = "unreachable"
 	// Unknown: the store has no such budget.
 	Unknown Cause = "unknown"
-	// Moved: the asked router is closing; ask the next home.
+	// Moved: the router asked is closing or is not the home; ask the next home.
 	Moved Cause = "moved"
 )
 
-// Peer names a router process.
+// Peer identifies a router process.
 type Peer struct {
 	// ID is the instance.
 	ID string
-	// Incarnation is unique to one process life.
+	// Incarnation is unique to one run of the process.
 	Incarnation string
 }
 
@@ -36,46 +36,44 @@
 	Grant Kind = "grant"
 	// Recall asks a holder for its unused tokens.
 	Recall Kind = "recall"
-	// Back moves unused tokens to the home.
+	// Back returns unused tokens to the home.
 	Back Kind = "back"
-	// Borrow asks any router for tokens, when the store has too few or does
-	// not answer.
+	// Borrow asks any router for tokens, when the store has too few or does not answer.
 	Borrow Kind = "borrow"
 	// Loan answers a Borrow, with tokens or a refusal.
 	Loan Kind = "loan"
 )
 
-// Message is what routers tell each other about one budget. Tokens move by
-// cumulative totals per pair of incarnations, so that a lost, doubled or late
-// message can strand tokens for a while but never double them; the next
-// message heals a loss.
+// Message is a message between routers about one budget. Tokens move by cumulative totals
+// per pair of incarnations, so that a lost, duplicated or late message can strand tokens
+// for a while but never double them; the next message makes up for a lost one.
 type Message struct {
 	Kind   Kind
 	Budget string
 	From   Peer
 	// To is the receiver; an empty incarnation stands for any.
 	To Peer
-	// Need is the least number of tokens that helps the drawer.
+	// Need is the minimum number of tokens that the drawing router can use.
 	Need int64
-	// Want is what the drawer would like, by its demand.
+	// Want is the number of tokens that the drawing router's demand calls for.
 	Want int64
 	// Total is the sum of all tokens ever moved from From to To.
 	Total int64
 	// Delta is the part of Total that this message adds.
 	Delta int64
-	// Scarce tells the receiver to give unused tokens back at once.
+	// Scarce tells the receiver to return unused tokens immediately.
 	Scarce bool
 	// Refused is set on a Grant that moves nothing.
 	Refused Cause
-	// Token is the drawer's reservation; a Grant repeats it. 0 is a draw
-	// ahead of demand.
+	// Token identifies the drawing router's reservation; a Grant repeats it. 0 marks a
+	// draw ahead of demand.
 	Token uint64
 }
 
-// Effect is something the caller of an Agent must do.
+// Effect is an action that the caller of an Agent must carry out.
 type Effect interface{ effect() }
 
-// Send delivers a message, once, without waiting. A failure is told by
+// Send delivers a message, once, without waiting. The caller reports a failure by
 // Undelivered.
 type Send struct{ Message Message }
 
@@ -97,37 +95,36 @@
 	Cause Cause
 }
 
-// Suspect tells that an instance did not answer in time, or that it is no home.
+// Suspect reports that an instance did not answer in time, or that it is not the home.
 type Suspect struct{ ID string }
 
-// AskAgain wants a call of Agent.AskAgain, after the effects before it were carried out:
-// only then another router is the home.
+// AskAgain requests a call of Agent.AskAgain after the preceding effects have been carried
+// out: only then is another router the home.
 type AskAgain struct{ Budget string }
 
-// Stop tells that this holder was fenced: its tokens are void, and the
-// process must end.
+// Stop reports that this holder was fenced: its tokens are void, and the process must end.
 type Stop struct{}
 
-// TakenBack tells that the copy of a page counts the tokens that an earlier
-// process of this instance withheld as free; the next write makes it so.
+// TakenBack reports that the tokens which an earlier process of this instance held in
+// escrow count as free in the copy of a page; the next write makes that permanent.
 type TakenBack struct {
 	// Holder is the earlier process.
 	Holder string
 	// Age is the time from its last write to the start of this process.
 	Age time.Duration
-	// Tokens are what it still withheld, by budget.
+	// Tokens are the tokens that were still in escrow, by budget.
 	Tokens map[string]int64
 }
 
-// GivenUp tells that an earlier process of this instance has withheld tokens which
-// nothing proves to be unused: they count as spent from the next write on.
+// GivenUp reports that an earlier process of this instance held tokens in escrow that
+// cannot be proven unused: they count as spent from the next write on.
 type GivenUp struct {
 	// Holder is the earlier process.
 	Holder string
-	// Steady and OfDay are the time from its last write to the start of this
-	// process, by the steady clock and by the time of day.
+	// Steady and OfDay are the time from its last write to the start of this process, by
+	// the monotonic clock and by the wall clock.
 	Steady, OfDay time.Duration
-	// Tokens are what it withheld when it wrote, by budget.
+	// Tokens are the tokens in escrow at that write, by budget.
 	Tokens map[string]int64
 }
 
--- a/budget/page.go
+++ b/budget/page.go
@@ -1,10 +1,10 @@
-// Package budget decides how a prepaid budget is shared out among routers.
+// Package budget distributes a prepaid token budget among routers.
 //
-// It is pure: every call takes the time, does no I/O and returns typed
-// effects. The safety argument needs no clock, lease or leader: a page in the
-// store records all tokens ever issued, issuing is a conditional update that
-// never passes the limit, and tokens move between routers only by a decrement
-// at the giver before the message leaves.
+// The package is pure: every call takes the time as an argument, does no I/O and returns
+// typed effects. Safety needs no clock, lease or leader: a page in the store records all
+// tokens ever issued, tokens are issued by a conditional update that never exceeds the
+// limit, and tokens move between routers only by a decrement at the sender before the
+// message leaves.
 package budget
 
 import (
@@ -17,44 +17,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Page is one store object that holds many budgets, so that one conditional
-// update renews them together.
+// Page is one store object that holds many budgets, so that one conditional update covers
+// all of them.
 type Page struct {
-	// Budgets are the budgets by name.
+	// Budgets maps budget names to their records.
 	Budgets map[string]*Record `json:"budgets"`
-	// Ops holds, for each holder, the number of its last write, by which a
-	// write whose answer was lost is recognised.
+	// Ops holds the number of each holder's last write. It identifies a write whose answer
+	// was lost.
 	Ops map[string]int64 `json:"ops"`
-	// Fenced are holders whose tokens were reclaimed: what they still hold is
-	// void, and they must write nothing any more.
+	// Fenced lists the holders whose tokens were reclaimed: what they still hold is void,
+	// and they must not write any more.
 	Fenced map[string]bool `json:"fenced,omitempty"`
-	// Escrows are the holders' escrows.
+	// Escrows holds the escrow of each holder.
 	Escrows map[string]Escrow `json:"escrows,omitempty"`
 }
 
-// Record is one budget as the store knows it.
+// Record is the stored state of one budget.
 type Record struct {
 	// Account is the client account that owns the budget.
 	Account string `json:"account"`
-	// Limit is the prepaid number of tokens. It rises by top-ups; where the
-	// operator's configuration gives it, it may also be lowered.
+	// Limit is the prepaid number of tokens. Top-ups raise it; if the operator's
+	// configuration sets it, it may also be lowered.
 	Limit int64 `json:"limit"`
-	// LimitVersion is the version of the configuration that gave the limit; 0
-	// where limits are changed in the page itself.
+	// LimitVersion is the version of the configuration that set the limit; 0 if limits are
+	// changed in the page itself.
 	LimitVersion int64 `json:"limit_version,omitempty"`
-	// Settled is the net issue of holders that closed in order.
+	// Settled is the net issue of holders that closed properly.
 	Settled int64 `json:"settled"`
-	// WrittenOff are issued tokens whose use nobody can tell any more, after
+	// WrittenOff counts issued tokens whose use cannot be determined any more, after
 	// several routers died together. They count as spent.
 	WrittenOff int64 `json:"written_off,omitempty"`
-	// Holders is the net issue (draws minus returns) of each open holder
-	// incarnation. It may be negative for one that returned tokens which
-	// another holder drew.
+	// Holders is the net issue (draws minus returns) of each open holder incarnation. It
+	// may be negative for one that returned tokens which another holder drew.
 	Holders map[string]int64 `json:"holders"`
 }
 
-// Issued returns all tokens ever issued net of returns: an upper bound of
-// what was spent.
+// Issued returns all tokens ever issued, net of returns: an upper bound on the tokens
+// spent.
 func (r *Record) Issued() int64 {
 	total := r.Settled
 	for _, n := range r.Holders {
@@ -73,25 +72,26 @@
 	return &Page{Budgets: map[string]*Record{}, Ops: map[string]int64{}, Fenced: map[string]bool{}, Escrows: map[string]Escrow{}}
 }
 
-// errNoPage is JSON that lacks the budgets, or the record of one, or has a null in the
-// place of a map. Taken as a page without them, it would overwrite what the store has at
-// the next write; and every router would panic at its next draw, and again at each start.
-var errNoPage = errors.New("budget page: not a page")
+// errInvalidPage reports JSON in which the budgets or the record of one are missing, or a
+// map is null. If it were accepted as a page without them, the next write would overwrite
+// the stored page, and every router would panic at its next draw, and again after each
+// restart.
+var errInvalidPage = errors.New("budget page: missing or null field")
 
-// DecodePage reads a page from its stored form.
+// DecodePage parses the stored form of a page.
 func DecodePage(value []byte) (*Page, error) {
 	p := NewPage()
 	p.Budgets = nil // Encode always writes them
 	if err := json.Unmarshal(value, p); err != nil {
 		return nil, fmt.Errorf("budget page: %w", err)
 	}
-	// A null takes the place of the empty map that a missing field keeps.
+	// A null replaces the empty map that an absent field leaves in place.
 	if p.Budgets == nil || p.Ops == nil || p.Fenced == nil || p.Escrows == nil {
-		return nil, errNoPage
+		return nil, errInvalidPage
 	}
 	for _, r := range p.Budgets {
 		if r == nil || r.Holders == nil {
-			return nil, errNoPage
+			return nil, errInvalidPage
 		}
 	}
 	return p, nil
@@ -117,7 +117,7 @@
 	return c
 }
 
-// Names returns the budgets' names in order.
+// Names returns the budget names, sorted.
 func (p *Page) Names() []string {
 	names := make([]string, 0, len(p.Budgets))
 	for id := range p.Budgets {
@@ -127,7 +127,7 @@
 	return names
 }
 
-// issue moves tokens to (or, negative, back from) a holder.
+// issue moves tokens to a holder, or back from it if negative.
 func (p *Page) issue(id, holder string, tokens int64) {
 	r := p.Budgets[id]
 	if r.Holders == nil {
@@ -139,9 +139,9 @@
 	}
 }
 
-// Close folds a holder that will never write again into the settled sums.
-// Called for a planned stop after the holder returned what it had, and by an
-// operator who attests that the instance was terminated.
+// Close folds a holder that will never write again into the settled sums. It is called for
+// a planned stop after the holder returned what it had, and by an operator who attests
+// that the instance was terminated.
 func (p *Page) Close(holder string) {
 	for _, r := range p.Budgets {
 		r.Settled += r.Holders[holder]
@@ -151,8 +151,8 @@
 	delete(p.Escrows, holder)
 }
 
-// Reclaim takes tokens that fenced holders left back. What they left is
-// computed by Stranded.
+// Reclaim returns tokens that fenced holders left behind, as computed by Stranded, to the
+// budgets and fences the holders.
 func (p *Page) Reclaim(holders []string, stranded map[string]int64) {
 	for id, tokens := range stranded {
 		p.Budgets[id].Settled -= tokens
@@ -160,7 +160,7 @@
 	p.fence(holders)
 }
 
-// WriteOff counts tokens that fenced holders left as spent for good.
+// WriteOff counts tokens that fenced holders left behind as spent and fences the holders.
 func (p *Page) WriteOff(holders []string, stranded map[string]int64) {
 	for id, tokens := range stranded {
 		p.Budgets[id].WrittenOff += tokens
@@ -168,7 +168,7 @@
 	p.fence(holders)
 }
 
-// Knows tells whether all these holders are fenced in the page already.
+// Knows reports whether all these holders are already fenced in the page.
 func (p *Page) Knows(holders []string) bool {
 	for _, h := range holders {
 		if !p.Fenced[h] {
@@ -190,7 +190,7 @@
 	return int(xxhash.Sum64String(id) % uint64(pages))
 }
 
-// Role returns the name under which the home of a page's budgets is ranked.
+// Role returns the name by which the home of a page's budgets is ranked.
 func Role(page int) string {
 	return fmt.Sprintf("budgets/%d", page)
 }
--- a/budget/page_test.go
+++ b/budget/page_test.go
@@ -6,10 +6,11 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// TestPageIsWholeOrNone: bytes that hold no budgets, such as null, were read as
-// a page without any, to which the next write would have cut it down; a budget of
-// null ended the process. Encode always writes the budgets.
-func TestPageIsWholeOrNone(t *testing.T) {
+// TestDecodePageRejectsPartialPages guards against values without budgets, such as null,
+// that were decoded as an empty page, to which the next write would have truncated the
+// stored one. A null record of a budget made the process panic. Encode always writes the
+// budgets.
+func TestDecodePageRejectsPartialPages(t *testing.T) {
 	page := budget.NewPage()
 	page.Budgets["b"] = &budget.Record{Account: "a", Limit: 900, Settled: 40, WrittenOff: 1, Holders: map[string]int64{"r/1": 200}}
 	page.Ops["r/1"] = 7
@@ -22,7 +23,7 @@
 	}
 	for _, other := range []string{`null`, `{}`, `{"budgets":null}`, `{"budgets":{"b":null}}`, `{"ops":{}}`, string(whole) + "{}"} {
 		if got, err := budget.DecodePage([]byte(other)); err == nil {
-			t.Errorf("%s is a page: %+v", other, got)
+			t.Errorf("%s is accepted as a page: %+v", other, got)
 		}
 	}
 	for _, p := range []*budget.Page{page, budget.NewPage()} {
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// StoreResult is what a store call came to.
+// StoreResult is the outcome of a store call.
 type StoreResult int
 
 // The results of a store call.
@@ -13,7 +13,7 @@
 	Done StoreResult = iota
 	// Missing: the page does not exist.
 	Missing
-	// Conflict: the page was changed by another; nothing was written.
+	// Conflict: the page was changed by another writer; nothing was written.
 	Conflict
 	// Unavailable: the call had no effect.
 	Unavailable
@@ -21,33 +21,32 @@
 	Lost
 )
 
-// pageOp is one wished change of a page: a draw, or a return when need is
-// negative.
+// pageOp is one requested change of a page: a draw, or a return when need is negative.
 type pageOp struct {
 	budget string
 	need   int64
 	want   int64
 	at     time.Time
-	// awaited tells that somebody waits for the write though it draws nothing.
+	// awaited tells that a caller waits for the write although it draws nothing.
 	awaited bool
-	// tail tells that the draw may take the budget's tail.
+	// tail tells that the draw may take from the budget's tail.
 	tail bool
 }
 
-// appliedOp is a pageOp with what the built write gives it.
+// appliedOp is a pageOp with the number of tokens that the write moves for it.
 type appliedOp struct {
 	op     pageOp
 	tokens int64
 }
 
-// pageWrite is a built conditional update. While its outcome is unknown it
-// may only be repeated as it is.
+// pageWrite is a conditional update of a page. While its outcome is unknown it may only be
+// repeated unchanged.
 type pageWrite struct {
 	version int64
 	number  int64
 	value   *Page
 	applied []appliedOp
-	escrow  escrowed
+	escrow  heldEscrow
 	lost    bool
 }
 
@@ -64,26 +63,27 @@
 	wroteAt time.Time
 	// failed tells that the last call got no answer.
 	failed bool
-	// calledAt is when the call that is out was made.
+	// calledAt is when the outstanding call was made.
 	calledAt time.Time
 	retryAt  time.Time
-	// conflicts in a row, and the pause before the next write because of the last.
+	// conflicts counts consecutive conflicts; pause is the delay that the last one caused
+	// before the next write.
 	conflicts int
-	// writers is how many holders had written the page when it was last seen.
+	// writers is how many holders had written the page when it was last read.
 	writers      int
 	conflictedAt time.Time
 	pause        time.Duration
-	// escrow is this holder's escrow in the page in the store.
-	escrow escrowed
-	// reseal tells that the page must be written although no tokens move.
-	reseal bool
+	// escrow is this holder's escrow as the page in the store has it.
+	escrow heldEscrow
+	// rewriteEscrow tells that the page must be written although no tokens move.
+	rewriteEscrow bool
 }
 
-// drawFromStore queues a draw of at least need and, by demand, more.
-func (a *Agent) drawFromStore(now time.Time, p *purse, need int64) {
+// drawFromStore queues a draw of at least need and, depending on demand, more.
+func (a *Agent) drawFromStore(now time.Time, p *pool, need int64) {
 	p.lookup = lookupRunning
 	p.lookedAt = now
-	want := a.hold(now, p)
+	want := a.targetBalance(now, p)
 	a.queue(now, pageOp{budget: p.id, need: need, want: max(want-p.balance, need), tail: a.inTail(p)})
 }
 
@@ -96,11 +96,11 @@
 		a.pages[n] = ps
 	}
 	ps.ops = append(ps.ops, op)
-	a.kick(now, n, ps)
+	a.startStoreCall(now, n, ps)
 }
 
-// kick starts the next store call of a page, if one is due.
-func (a *Agent) kick(now time.Time, n int, ps *pageState) {
+// startStoreCall starts the next store call of a page, if one is due.
+func (a *Agent) startStoreCall(now time.Time, n int, ps *pageState) {
 	if ps.reading || ps.writing || len(ps.ops) == 0 && ps.write == nil {
 		return
 	}
@@ -108,18 +108,18 @@
 		a.failDraws(now, ps)
 		return
 	}
-	if ps.write == nil && !a.closing && (now.Sub(ps.wroteAt) < a.spacing(ps) || ps.backsOff(now)) {
+	if ps.write == nil && !a.closing && (now.Sub(ps.wroteAt) < a.writeInterval(ps) || ps.inBackoff(now)) {
 		return
 	}
-	if !ps.have || a.stale(now, ps) {
+	if !ps.have || a.needsRead(now, ps) {
 		ps.reading = true
 		ps.calledAt = now
 		a.emit(ReadPage{Page: n})
 		return
 	}
 	if ps.write == nil {
-		a.rideAlong(now, n, ps)
-		a.build(now, n, ps)
+		a.batchDraws(now, n, ps)
+		a.buildWrite(now, n, ps)
 	}
 	if ps.write == nil {
 		a.finishOps(now, ps, nil)
@@ -131,8 +131,8 @@
 	a.emit(WritePage{Page: n, Version: ps.write.version, Value: ps.write.value})
 }
 
-// spacing returns the least time between two writes of a page.
-func (a *Agent) spacing(ps *pageState) time.Duration {
+// writeInterval returns the minimum time between two writes of a page.
+func (a *Agent) writeInterval(ps *pageState) time.Duration {
 	switch {
 	case !ps.urgent():
 		return a.cfg.PageSpacing
@@ -143,7 +143,7 @@
 	}
 }
 
-// urgent tells whether somebody waits for a queued draw.
+// urgent reports whether a caller waits for a queued operation.
 func (ps *pageState) urgent() bool {
 	for _, op := range ps.ops {
 		if op.need > 0 || op.awaited {
@@ -153,8 +153,8 @@
 	return false
 }
 
-// urge turns a queued draw ahead of demand into one that somebody waits for.
-func (a *Agent) urge(now time.Time, p *purse) {
+// makeUrgent turns a queued prefetch into a draw that callers wait for.
+func (a *Agent) makeUrgent(now time.Time, p *pool) {
 	ps := a.pages[p.page]
 	if ps == nil {
 		return
@@ -162,33 +162,33 @@
 	for i := range ps.ops {
 		op := &ps.ops[i]
 		if op.budget == p.id && op.need == 0 {
-			op.need = max(p.unmet(), 0)
+			op.need = max(p.shortfall(), 0)
 			op.want = max(op.want, op.need)
 		}
 	}
-	a.kick(now, p.page, ps)
+	a.startStoreCall(now, p.page, ps)
 }
 
-// rideAlong adds draws for the page's other budgets that are below what their
-// home would hold, so that one write renews the whole page and the number of
-// writes does not grow with the number of budgets.
-func (a *Agent) rideAlong(now time.Time, n int, ps *pageState) {
+// batchDraws adds draws for the page's other budgets that are below their target balance
+// at their home, so that one write serves the whole page and the number of writes does not
+// grow with the number of budgets.
+func (a *Agent) batchDraws(now time.Time, n int, ps *pageState) {
 	if a.closing {
 		return
 	}
-	for _, p := range a.awake {
+	for _, p := range a.active {
 		if p.page != n || p.lookup != lookupIdle || p.scarce || p.recall.active {
 			continue
 		}
-		hold := a.hold(now, p)
+		target := a.targetBalance(now, p)
 		if !a.isHome(now, p.id) {
 			continue
 		}
-		if a.cfg.Surplus > 0 && float64(p.balance) > float64(hold)*(1+a.cfg.Surplus) {
-			a.returnExcess(now, p, ps, p.balance-hold)
+		if a.cfg.Surplus > 0 && float64(p.balance) > float64(target)*(1+a.cfg.Surplus) {
+			a.returnExcess(now, p, ps, p.balance-target)
 			continue
 		}
-		want := hold - p.balance
+		want := target - p.balance
 		if want <= 0 {
 			continue
 		}
@@ -198,15 +198,15 @@
 	}
 }
 
-// returnExcess adds a return of tokens that are more than a home would hold.
-func (a *Agent) returnExcess(now time.Time, p *purse, ps *pageState, tokens int64) {
+// returnExcess queues a return of tokens beyond a home's target balance.
+func (a *Agent) returnExcess(now time.Time, p *pool, ps *pageState, tokens int64) {
 	p.balance -= tokens
 	ps.ops = append(ps.ops, pageOp{budget: p.id, need: -tokens, at: now})
 }
 
-// stale tells whether a queued draw should see a newer copy: the held one is
-// older than the draw and has too little.
-func (a *Agent) stale(now time.Time, ps *pageState) bool {
+// needsRead reports whether a queued draw needs a newer copy of the page: the held one is
+// older than CheckEvery and has too few tokens.
+func (a *Agent) needsRead(now time.Time, ps *pageState) bool {
 	if ps.write != nil || now.Sub(ps.readAt) < a.cfg.CheckEvery {
 		return false
 	}
@@ -219,15 +219,15 @@
 	return false
 }
 
-// build makes the conditional update for all queued ops. Ops that change
-// nothing are answered without a write.
-func (a *Agent) build(now time.Time, n int, ps *pageState) {
+// buildWrite builds one conditional update for all queued operations. If none of them
+// changes the page, there is no write.
+func (a *Agent) buildWrite(now time.Time, n int, ps *pageState) {
 	value := ps.page.Clone()
-	changed := ps.reseal
+	changed := ps.rewriteEscrow
 	applied := make([]appliedOp, 0, len(ps.ops))
 	for _, op := range ps.ops {
-		tokens := a.amount(value, op)
-		if op.need >= 0 && a.needsReseal(now, a.purse(op.budget)) {
+		tokens := a.tokensFor(value, op)
+		if op.need >= 0 && a.needsEscrowRewrite(now, a.pool(op.budget)) {
 			changed = true
 		}
 		if tokens != 0 {
@@ -241,16 +241,16 @@
 	}
 	a.writes++
 	value.Ops[a.cfg.Self.Incarnation] = a.writes
-	escrow := a.setAside(now, n, value)
+	escrow := a.putEscrow(now, n, value)
 	ps.write = &pageWrite{version: ps.version, number: a.writes, value: value, applied: applied, escrow: escrow}
 	ps.ops = nil
-	ps.reseal = false
+	ps.rewriteEscrow = false
 }
 
-// amount returns the tokens that an op moves: all that is needed if it is
-// there, a part of the free tokens beyond that, and whatever is left when
-// less than needed is there. A return moves its negative amount.
-func (a *Agent) amount(page *Page, op pageOp) int64 {
+// tokensFor returns the tokens that an operation moves: all that is needed if it is
+// available, a share of the free tokens beyond that, and whatever is left if less than
+// needed is available. A return moves its negative amount.
+func (a *Agent) tokensFor(page *Page, op pageOp) int64 {
 	r := page.Budgets[op.budget]
 	if r == nil {
 		return 0
@@ -259,10 +259,10 @@
 		return op.need
 	}
 	free := a.spendable(r, op.tail)
-	return max(min(op.need, free), min(op.want, free/shareOfFree))
+	return max(min(op.need, free), min(op.want, free/freeDivisor))
 }
 
-// PageRead takes the answer of a ReadPage.
+// PageRead handles the answer to a ReadPage.
 func (a *Agent) PageRead(now time.Time, n int, version int64, page *Page, result StoreResult) []Effect {
 	ps := a.pages[n]
 	ps.reading = false
@@ -271,29 +271,29 @@
 	case Done:
 		if page.Fenced[a.cfg.Self.Incarnation] {
 			a.emit(Stop{})
-			return a.drain()
+			return a.takeEffects()
 		}
 		ps.page, ps.version, ps.have, ps.readAt = page, version, true, now
 		ps.writers = len(page.Ops)
 		a.applyLimits(n, ps)
-		a.takeBack(ps)
-		a.resolveLost(now, ps)
-		a.shedOverdrawn(now, n, ps)
+		a.reclaimEscrows(ps)
+		a.resolveLostWrite(now, ps)
+		a.returnOverissued(now, n, ps)
 	case Missing:
 		ps.page, ps.version, ps.have, ps.readAt = NewPage(), 0, true, now
 		a.applyLimits(n, ps)
 	default:
 		a.storeFailed(now, ps)
-		return a.drain()
+		return a.takeEffects()
 	}
-	a.kick(now, n, ps)
-	return a.drain()
+	a.startStoreCall(now, n, ps)
+	return a.takeEffects()
 }
 
-// resolveLost decides a write whose answer was lost, by the op number in the
-// page. If the version has not moved, the same write is repeated as it is: a
-// late arrival of the first one then makes the second fail, not double.
-func (a *Agent) resolveLost(now time.Time, ps *pageState) {
+// resolveLostWrite determines the outcome of a write whose answer was lost, by the
+// operation number in the page. If the version has not changed, the same write is repeated
+// unchanged: if the first one arrives late, the second fails instead of counting twice.
+func (a *Agent) resolveLostWrite(now time.Time, ps *pageState) {
 	w := ps.write
 	if w == nil {
 		return
@@ -307,7 +307,7 @@
 	}
 }
 
-// requeue puts the ops of a write that had no effect back.
+// requeue puts the operations of a write that had no effect back into the queue.
 func (a *Agent) requeue(ps *pageState) {
 	ops := make([]pageOp, 0, len(ps.write.applied)+len(ps.ops))
 	for _, ap := range ps.write.applied {
@@ -317,8 +317,8 @@
 	ps.write = nil
 }
 
-// PageWritten takes the answer of a WritePage. With a Conflict, current is the
-// page as it is at that version, or nil if the store did not tell it.
+// PageWritten handles the answer to a WritePage. With a Conflict, current is the page at
+// that version, or nil if the store did not return it.
 func (a *Agent) PageWritten(now time.Time, n int, version int64, result StoreResult, current *Page) []Effect {
 	ps := a.pages[n]
 	ps.writing = false
@@ -329,10 +329,10 @@
 		ps.page, ps.version, ps.readAt = ps.write.value, version, now
 		a.applyLimits(n, ps)
 		a.finishWrite(now, ps)
-		a.shedOverdrawn(now, n, ps)
+		a.returnOverissued(now, n, ps)
 	case Conflict:
 		ps.have = false
-		ps.wroteAt = time.Time{} // nothing was written: the next try need not wait
+		ps.wroteAt = time.Time{} // nothing was written, so the retry need not wait
 		a.backOff(now, ps)
 		if !ps.write.lost {
 			a.requeue(ps)
@@ -349,14 +349,14 @@
 		}
 		ps.have = false
 		a.storeFailed(now, ps)
-		return a.drain()
+		return a.takeEffects()
 	}
-	a.kick(now, n, ps)
-	return a.drain()
+	a.startStoreCall(now, n, ps)
+	return a.takeEffects()
 }
 
-// unqueueReturns takes back what is queued to be returned to the store.
-func (a *Agent) unqueueReturns(p *purse) {
+// unqueueReturns moves tokens that are queued for return to the store back to the balance.
+func (a *Agent) unqueueReturns(p *pool) {
 	ps := a.pages[p.page]
 	if ps == nil {
 		return
@@ -372,7 +372,7 @@
 	ps.ops = kept
 }
 
-// finishWrite credits what the write that took effect drew.
+// finishWrite credits the tokens drawn by a write that took effect.
 func (a *Agent) finishWrite(now time.Time, ps *pageState) {
 	applied := ps.write.applied
 	ps.escrow = ps.write.escrow
@@ -380,8 +380,8 @@
 	a.finishOps(now, ps, applied)
 }
 
-// finishOps ends draws, with what they got; without a write, all queued ops
-// got nothing.
+// finishOps completes draws with the tokens they got; without a write, no queued operation
+// got any.
 func (a *Agent) finishOps(now time.Time, ps *pageState, applied []appliedOp) {
 	if applied == nil {
 		for _, op := range ps.ops {
@@ -391,13 +391,13 @@
 	}
 	for _, ap := range applied {
 		if ap.op.need >= 0 {
-			a.drawn(now, ps, ap)
+			a.finishDraw(now, ps, ap)
 		}
 	}
 }
 
-func (a *Agent) drawn(now time.Time, ps *pageState, ap appliedOp) {
-	p := a.purse(ap.op.budget)
+func (a *Agent) finishDraw(now time.Time, ps *pageState, ap appliedOp) {
+	p := a.pool(ap.op.budget)
 	r := ps.page.Budgets[p.id]
 	p.balance += ap.tokens
 	p.unknown = r == nil
@@ -406,11 +406,11 @@
 		p.lookup = lookupShort
 		p.shortAt = now
 	}
-	p.scarce = r == nil || r.Free() < p.ahead(now, a.cfg.scarceHorizon())
-	a.pump(now, p)
+	p.scarce = r == nil || r.Free() < p.expectedDemand(now, a.cfg.scarceHorizon())
+	a.advance(now, p)
 }
 
-// storeFailed ends the waiting draws of a page when the store is out; returns
+// storeFailed fails the waiting draws of a page when the store is unavailable; returns
 // stay queued.
 func (a *Agent) storeFailed(now time.Time, ps *pageState) {
 	ps.failed = true
@@ -437,13 +437,13 @@
 	}
 }
 
-// failDraw ends the search that waits for a draw. A draw in a lost write may
-// still be credited later.
+// failDraw ends the search that waits for a draw. A draw in a lost write may still be
+// credited later.
 func (a *Agent) failDraw(now time.Time, op pageOp) {
-	p := a.purse(op.budget)
+	p := a.pool(op.budget)
 	if op.need < 0 || p.lookup != lookupRunning {
 		return
 	}
 	p.lookup = lookupFailed
-	a.pump(now, p)
+	a.advance(now, p)
 }
--- /dev/null
+++ b/budget/pool.go
@@ -0,0 +1,297 @@
+package budget
+
+import (
+	"time"
+)
+
+const (
+	// needWindow is the number of reservations that the mean need averages over.
+	needWindow = 8
+	// startupDelay is how long after its start a router prefetches nothing: by then it has
+	// discovered the other routers and knows whether it is a home at all.
+	startupDelay = 500 * time.Millisecond
+)
+
+// waiter is a local reservation that could not be granted immediately.
+type waiter struct {
+	token      uint64
+	need       int64
+	drawSentAt time.Time // zero: no draw has been sent to the home
+	// peersOnly tells that the store has only the tail left, which this request may not
+	// take from: only tokens held by other routers can serve it.
+	peersOnly bool
+}
+
+// draw is another router's unanswered draw.
+type draw struct {
+	peer       Peer
+	token      uint64
+	need, want int64
+}
+
+// holder is a router that this router granted tokens to.
+type holder struct {
+	peer Peer
+	// recallable tells that the holder may have more than its running requests need, so
+	// that a recall is worthwhile.
+	recallable bool
+}
+
+// recallRound is one round of asking holders for their unused tokens.
+type recallRound struct {
+	active  bool
+	at      time.Time
+	waiting map[string]bool
+}
+
+// lookup is the state of the home's search in the store.
+type lookup int
+
+const (
+	lookupIdle lookup = iota
+	lookupRunning
+	lookupShort  // the store gave what it had, which was not enough
+	lookupFailed // the store did not answer
+)
+
+// pool is what one router holds of one budget.
+type pool struct {
+	id               string
+	page             int
+	balance          int64
+	reserved         int64
+	escrow           int64 // part of the balance that is not usable yet
+	waiters          []waiter
+	draws            []draw
+	loans            []loanRequest
+	drawTarget       string
+	prefetchSentAt   time.Time // when a draw ahead of demand was sent; zero: none is outstanding
+	recall           recallRound
+	borrowing        borrowing
+	lookup           lookup
+	lookedAt         time.Time
+	shortAt          time.Time // when the store last had too few tokens
+	unknown          bool
+	scarce           bool
+	home             Peer
+	unreachableHome  string               // the home that did not receive the last draw; empty: it did
+	unreachableAt    time.Time            // when that became known
+	skippedHomes     map[string]time.Time // homes that redirected or did not answer, and when
+	awaitingNextHome bool                 // the next home is not known yet
+	sent             map[string]int64     // by the receiver's incarnation
+	received         map[string]int64     // by the sender's incarnation
+	holders          map[string]*holder
+	demand           rate      // rate of tokens asked for
+	tailSince        time.Time // when only the tail was left; zero: more is left
+	meanNeed         float64   // mean tokens per reservation, exponentially weighted by count
+	lastUse          time.Time
+	active           bool // in the agent's list of active pools
+}
+
+func newPool(id string, page int, window time.Duration) *pool {
+	return &pool{id: id, page: page, demand: rate{window: window}, skippedHomes: map[string]time.Time{}, sent: map[string]int64{}, received: map[string]int64{}, holders: map[string]*holder{}}
+}
+
+// recordUse records that a request of need tokens asked for the budget.
+func (p *pool) recordUse(now time.Time, need int64) {
+	p.lastUse = now
+	p.meanNeed += (float64(need) - p.meanNeed) / needWindow
+}
+
+// expectedDemand returns the tokens that the current demand takes in d.
+func (p *pool) expectedDemand(now time.Time, d time.Duration) int64 { return p.demand.expected(now, d) }
+
+// shortfall returns the tokens asked for and not covered by the usable balance.
+func (p *pool) shortfall() int64 { return p.requested() - p.usable() }
+
+// requested returns the tokens that waiting reservations, draws and loans ask for.
+func (p *pool) requested() int64 {
+	var sum int64
+	for _, w := range p.waiters {
+		sum += w.need
+	}
+	for _, d := range p.draws {
+		sum += d.need
+	}
+	for _, l := range p.loans {
+		sum += l.message.Need
+	}
+	return sum
+}
+
+// drawable returns the tokens to request from the store: the shortfall without the
+// reservations that only other routers can serve.
+func (p *pool) drawable() int64 {
+	sum := p.shortfall()
+	for _, w := range p.waiters {
+		if w.peersOnly {
+			sum -= w.need
+		}
+	}
+	return sum
+}
+
+// idle reports whether nothing is held, awaited or asked for.
+func (p *pool) idle() bool {
+	return p.balance <= 0 && p.reserved == 0 && !p.waiting() && len(p.loans) == 0 && !p.drawPending() && !p.recall.active && p.borrowing.from == "" && p.lookup != lookupRunning
+}
+
+func (p *pool) waiting() bool {
+	return len(p.waiters)+len(p.draws) > 0
+}
+
+// removeWaiter removes a waiting reservation.
+func (p *pool) removeWaiter(token uint64) (waiter, bool) {
+	for i, w := range p.waiters {
+		if w.token == token {
+			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
+			return w, true
+		}
+	}
+	return waiter{}, false
+}
+
+// drawPending reports whether a draw sent to the home is unanswered.
+func (p *pool) drawPending() bool {
+	for _, w := range p.waiters {
+		if !w.drawSentAt.IsZero() {
+			return true
+		}
+	}
+	return !p.prefetchSentAt.IsZero()
+}
+
+// resetDraws marks all unanswered draws as not sent, so that they are sent again.
+func (p *pool) resetDraws() {
+	for i := range p.waiters {
+		p.waiters[i].drawSentAt = time.Time{}
+	}
+	p.prefetchSentAt = time.Time{}
+}
+
+// resetDraw marks one draw that did not reach the home as not sent: that of a waiting
+// reservation, or the prefetch if token is 0.
+func (p *pool) resetDraw(token uint64) {
+	if token == 0 {
+		p.prefetchSentAt = time.Time{}
+		return
+	}
+	for i := range p.waiters {
+		if p.waiters[i].token == token {
+			p.waiters[i].drawSentAt = time.Time{}
+		}
+	}
+}
+
+// drawTimedOut reports whether the home has left a draw unanswered for at least timeout.
+func (p *pool) drawTimedOut(now time.Time, timeout time.Duration) bool {
+	for _, w := range p.waiters {
+		if !w.drawSentAt.IsZero() && now.Sub(w.drawSentAt) >= timeout {
+			return true
+		}
+	}
+	return !p.prefetchSentAt.IsZero() && now.Sub(p.prefetchSentAt) >= timeout
+}
+
+// recallAnswered records that a holder returned its unused tokens.
+func (p *pool) recallAnswered(incarnation string) {
+	if h, ok := p.holders[incarnation]; ok {
+		h.recallable = false
+	}
+	if !p.recall.active {
+		return
+	}
+	delete(p.recall.waiting, incarnation)
+	if len(p.recall.waiting) == 0 {
+		p.finishRecall()
+	}
+}
+
+// finishRecall ends a round. A holder that did not answer is not recalled again until it
+// is granted more; its tokens come back when it resumes.
+func (p *pool) finishRecall() {
+	for incarnation := range p.recall.waiting {
+		if h, ok := p.holders[incarnation]; ok {
+			h.recallable = false
+		}
+	}
+	p.recall.active = false
+	p.recall.waiting = nil
+}
+
+// reserve reserves need tokens of the balance; it returns false if the usable balance is
+// too small.
+func (p *pool) reserve(need int64) bool {
+	if p.usable() < need {
+		return false
+	}
+	p.balance -= need
+	p.reserved += need
+	return true
+}
+
+// serveWaiters grants every local reservation that the usable balance covers.
+func (a *Agent) serveWaiters(p *pool) {
+	kept := p.waiters[:0]
+	for _, w := range p.waiters {
+		if !p.reserve(w.need) {
+			kept = append(kept, w)
+			continue
+		}
+		a.emit(Resolve{Token: w.token, OK: true})
+	}
+	p.waiters = kept
+}
+
+// serveDraws grants every peer's draw that the usable balance covers.
+func (a *Agent) serveDraws(now time.Time, p *pool) {
+	kept := p.draws[:0]
+	for _, d := range p.draws {
+		if p.usable() < d.need {
+			kept = append(kept, d)
+			continue
+		}
+		a.grant(now, p, d)
+	}
+	p.draws = kept
+}
+
+// grant moves tokens to the drawing router: what it needs, and more for its expected
+// demand unless tokens are scarce. The granted amount counts as the home's demand, since
+// most draws are prefetches whose own need is small.
+func (a *Agent) grant(now time.Time, p *pool, d draw) {
+	amount := d.need
+	if !p.scarce {
+		amount = max(d.need, min(d.want, p.balance/freeDivisor))
+	}
+	a.grants = true
+	p.demand.add(now, amount)
+	p.holders[d.peer.Incarnation] = &holder{peer: d.peer, recallable: !p.scarce}
+	m := a.move(p, Grant, d.peer, amount)
+	m.Token = d.token
+	a.emit(Send{m})
+}
+
+// refuseDraw answers a peer's draw with a cause and no tokens.
+func (a *Agent) refuseDraw(p *pool, d draw, cause Cause) {
+	m := a.move(p, Grant, d.peer, 0)
+	m.Token = d.token
+	m.Refused = cause
+	m.Scarce = true
+	a.emit(Send{m})
+}
+
+// move decrements the balance and returns the message that carries the tokens.
+func (a *Agent) move(p *pool, kind Kind, to Peer, amount int64) Message {
+	p.balance -= amount
+	p.sent[to.Incarnation] += amount
+	return Message{
+		Kind:   kind,
+		Budget: p.id,
+		From:   a.cfg.Self,
+		To:     to,
+		Total:  p.sent[to.Incarnation],
+		Delta:  amount,
+		Scarce: p.scarce,
+	}
+}
--- a/budget/moved_test.go
+++ b/budget/redirect_test.go
@@ -8,18 +8,18 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// homes are routers that each call another one the home of a budget.
-type homes struct {
+// redirectingHomes are routers that each name another one as the home of a budget.
+type redirectingHomes struct {
 	now      time.Time
 	agent    *budget.Agent
-	passed   map[string]bool // passed over, until they are heard of again
+	skipped  map[string]bool // skipped homes, until another answer is received from them
 	ranked   []string
 	draws    int
 	resolved []budget.Resolve
 }
 
-func newHomes() *homes {
-	h := &homes{now: epoch.Add(time.Hour), passed: map[string]bool{}, ranked: []string{"x", "y", "z"}}
+func newRedirectingHomes() *redirectingHomes {
+	h := &redirectingHomes{now: epoch.Add(time.Hour), skipped: map[string]bool{}, ranked: []string{"x", "y", "z"}}
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
 	cfg.Started = epoch
@@ -29,26 +29,26 @@
 	return h
 }
 
-// home is the first that is not passed over, or the first where all are.
-func (h *homes) home() string {
+// home returns the first router that is not skipped, or the first if all are.
+func (h *redirectingHomes) home() string {
 	for _, id := range h.ranked {
-		if !h.passed[id] {
+		if !h.skipped[id] {
 			return id
 		}
 	}
 	return h.ranked[0]
 }
 
-// carry carries effects out: each asked router is heard of, and says that another one is
-// the home.
-func (h *homes) carry(t *testing.T, effects []budget.Effect) {
+// perform carries out effects: each router that is asked answers that another one is the
+// home.
+func (h *redirectingHomes) perform(t *testing.T, effects []budget.Effect) {
 	t.Helper()
 	for len(effects) > 0 && h.draws < 1000 {
 		e := effects[0]
 		effects = effects[1:]
 		switch e := e.(type) {
 		case budget.Suspect:
-			h.passed[e.ID] = true
+			h.skipped[e.ID] = true
 		case budget.AskAgain:
 			effects = slices.Concat(effects, h.agent.AskAgain(h.now, e.Budget))
 		case budget.Resolve:
@@ -58,7 +58,7 @@
 				continue
 			}
 			h.draws++
-			clear(h.passed) // the answers of other calls say that all are there
+			clear(h.skipped) // the answers of other calls show that all are reachable
 			h.now = h.now.Add(time.Millisecond)
 			effects = slices.Concat(effects, h.agent.Receive(h.now, budget.Message{
 				Kind: budget.Grant, From: budget.Peer{ID: e.Message.To.ID, Incarnation: e.Message.To.ID + "/1"}, To: budget.Peer{ID: "self", Incarnation: "self/1"},
@@ -68,20 +68,21 @@
 	}
 }
 
-// TestHomesThatPassOnToEachOtherAreAskedOnce: the store is away from all, each router that
-// could be the home of a budget says that another one is, and other calls show that all of
-// them are there. On a played day one router was passed over forty times in a tenth of a
-// second, by one other, and 20,000 times in twelve seconds by the fleet; the callers waited
-// meanwhile, and small routers that became homes so wrote the page against each other.
-func TestHomesThatPassOnToEachOtherAreAskedOnce(t *testing.T) {
-	h := newHomes()
+// TestHomesThatRedirectAreAskedOnce guards against an endless redirect loop. The store is
+// unavailable to all routers, each router that could be the home of a budget answers that
+// another one is, and other calls show that all of them are reachable. In a test day one
+// router was skipped forty times in a tenth of a second by one other, and 20,000 times in
+// twelve seconds by the fleet; the callers waited meanwhile, and small routers that became
+// homes this way caused write conflicts on the page.
+func TestHomesThatRedirectAreAskedOnce(t *testing.T) {
+	h := newRedirectingHomes()
 	_, granted, effects := h.agent.Reserve(h.now, "b", 10)
 	if granted {
 		t.Fatal("granted without tokens")
 	}
-	h.carry(t, effects)
+	h.perform(t, effects)
 	if h.draws > 2*len(h.ranked) {
-		t.Errorf("%d questions to %d routers", h.draws, len(h.ranked))
+		t.Errorf("%d draws to %d routers", h.draws, len(h.ranked))
 	}
 	if len(h.resolved) != 1 || h.resolved[0].OK || h.resolved[0].Cause != budget.Unreachable {
 		t.Errorf("the reservation ended with %+v, want unreachable at once", h.resolved)
@@ -89,7 +90,7 @@
 	asked := h.draws
 	h.now = h.now.Add(time.Second)
 	_, _, effects = h.agent.Reserve(h.now, "b", 10)
-	h.carry(t, effects)
+	h.perform(t, effects)
 	if h.draws == asked {
 		t.Error("nobody is asked a second later")
 	}
--- a/budget/search.go
+++ b/budget/search.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// This file is a home's way to more tokens: the store, the holders that it granted
-// to, the other routers, and at last a refusal.
+// This file implements how a home obtains more tokens: from the store, then from the
+// holders that it granted tokens to, then from other routers; if all fail, it refuses.
 
-// pump serves what the balance covers and looks for more for the rest.
-func (a *Agent) pump(now time.Time, p *purse) {
+// advance grants what the balance covers and searches for more for the rest.
+func (a *Agent) advance(now time.Time, p *pool) {
 	a.refreshEscrow(now, p)
 	a.serveWaiters(p)
 	a.serveDraws(now, p)
 	a.serveLoans(now, p)
 	if !p.waiting() {
-		p.settleLookup()
+		p.resetLookup()
 		return
 	}
 	home := a.isHome(now, p.id)
 	if !home && len(p.waiters) > 0 {
-		a.ask(now, p)
+		a.sendDraws(now, p)
 	}
 	if !home && len(p.draws) == 0 {
 		return
@@ -28,46 +28,47 @@
 	switch {
 	case p.recall.active, p.borrowing.from != "":
 	case p.lookup == lookupRunning:
-		a.urge(now, p)
-		if a.storeSlow(now, p) && !a.borrow(now, p) && a.storeAway(p) {
-			a.refuseAll(p, a.unreached(now, p)) // the draw goes on, for those who come later
+		a.makeUrgent(now, p)
+		if a.storeSlow(now, p) && !a.borrow(now, p) && a.storeUnavailable(p) {
+			a.refuseAll(p, a.unreachableCause(now, p)) // the draw continues, for later requests
 		}
 	default:
 		a.search(now, p)
 	}
 }
 
-// settleLookup forgets a finished search, so that the next one starts anew.
-func (p *purse) settleLookup() {
+// resetLookup clears the result of a finished search, so that the next one starts again at
+// the store.
+func (p *pool) resetLookup() {
 	if p.lookup == lookupShort || p.lookup == lookupFailed {
 		p.lookup = lookupIdle
 	}
 }
 
-// settling tells whether this router has just started.
-func (a *Agent) settling(now time.Time) bool { return now.Sub(a.cfg.Started) < settleTime }
+// startingUp reports whether this router has just started.
+func (a *Agent) startingUp(now time.Time) bool { return now.Sub(a.cfg.Started) < startupDelay }
 
-// prefetch asks for more before the balance runs out.
-func (a *Agent) prefetch(now time.Time, p *purse) {
-	if p.scarce || a.closing || p.lookup == lookupRunning || p.recall.active || a.settling(now) {
+// prefetch asks for more tokens before the balance runs out.
+func (a *Agent) prefetch(now time.Time, p *pool) {
+	if p.scarce || a.closing || p.lookup == lookupRunning || p.recall.active || a.startingUp(now) {
 		return
 	}
 	if a.isHome(now, p.id) {
-		if (p.balance < a.low(now, p) || a.needsReseal(now, p)) && now.Sub(p.lookedAt) >= a.cfg.CheckEvery {
+		if (p.balance < a.refillThreshold(now, p) || a.needsEscrowRewrite(now, p)) && now.Sub(p.lookedAt) >= a.cfg.CheckEvery {
 			a.drawFromStore(now, p, 0)
 		}
 		return
 	}
-	if p.asking() || p.passing || a.homeFails(now, p) && now.Sub(p.failedAt) < unreachedPause || p.balance >= a.entryHold(now, p)/shareOfFree {
+	if p.drawPending() || p.awaitingNextHome || a.homeUnreachable(now, p) && now.Sub(p.unreachableAt) < unreachableHomePause || p.balance >= a.entryTarget(now, p)/freeDivisor {
 		return
 	}
-	p.prefetching = now
+	p.prefetchSentAt = now
 	a.emit(Send{a.drawMessage(now, p, 0, 1)})
 }
 
-// search is the home's way to more tokens: the store, then the holders, then
-// a refusal. Each step is taken once per search.
-func (a *Agent) search(now time.Time, p *purse) {
+// search takes the home's next step to obtain tokens: the store, then the holders, then
+// the other routers, then a refusal. Each step is taken once per search.
+func (a *Agent) search(now time.Time, p *pool) {
 	if a.mayDraw(now, p) {
 		a.drawFromStore(now, p, max(p.drawable(), 0))
 		return
@@ -77,7 +78,7 @@
 	}
 	cause := Exhausted
 	if p.lookup == lookupFailed {
-		cause = a.unreached(now, p)
+		cause = a.unreachableCause(now, p)
 	}
 	if p.unknown {
 		cause = Unknown
@@ -86,18 +87,18 @@
 	a.refuseAll(p, cause)
 }
 
-// unreached is the cause of a refusal when the store does not answer: another
-// router may be the home by now, which it does answer.
-func (a *Agent) unreached(now time.Time, p *purse) Cause {
+// unreachableCause returns the cause of a refusal when the store does not answer: Moved if
+// another router, which the store may answer, has become the home.
+func (a *Agent) unreachableCause(now time.Time, p *pool) Cause {
 	if a.isHome(now, p.id) {
 		return Unreachable
 	}
 	return Moved
 }
 
-// mayDraw tells whether the store may have tokens for what waits, or may release
-// some of what this router withholds.
-func (a *Agent) mayDraw(now time.Time, p *purse) bool {
+// mayDraw reports whether the store may have tokens for the waiting requests, or a write
+// may release some of this router's escrow.
+func (a *Agent) mayDraw(now time.Time, p *pool) bool {
 	if p.lookup != lookupIdle {
 		return false
 	}
@@ -107,12 +108,12 @@
 	return p.drawable() > 0 && now.Sub(p.shortAt) >= a.cfg.CheckEvery
 }
 
-// startRecall asks the holders for unused tokens; false means that there is
-// none to ask.
-func (a *Agent) startRecall(now time.Time, p *purse) bool {
+// startRecall asks the holders for unused tokens; it returns false if there is no holder
+// to ask.
+func (a *Agent) startRecall(now time.Time, p *pool) bool {
 	p.scarce = true
 	p.recall = recallRound{at: now, waiting: map[string]bool{}}
-	for _, incarnation := range p.looseHolders() {
+	for _, incarnation := range p.recallableHolders() {
 		p.recall.waiting[incarnation] = true
 		a.emit(Send{a.move(p, Recall, p.holders[incarnation].peer, 0)})
 	}
@@ -120,12 +121,12 @@
 	return p.recall.active
 }
 
-// looseHolders returns the incarnations worth a recall, in order, so that a
-// seeded run repeats.
-func (p *purse) looseHolders() []string {
+// recallableHolders returns the incarnations worth a recall, sorted, so that a seeded run
+// is reproducible.
+func (p *pool) recallableHolders() []string {
 	var list []string
 	for incarnation, h := range p.holders {
-		if h.loose {
+		if h.recallable {
 			list = append(list, incarnation)
 		}
 	}
@@ -133,7 +134,7 @@
 	return list
 }
 
-func (a *Agent) refuseAll(p *purse, cause Cause) {
+func (a *Agent) refuseAll(p *pool, cause Cause) {
 	a.refuseWaiters(p, cause)
 	for _, d := range p.draws {
 		a.refuseDraw(p, d, cause)
@@ -142,7 +143,7 @@
 }
 
 // refuseWaiters refuses the reservations of this router's own requests.
-func (a *Agent) refuseWaiters(p *purse, cause Cause) {
+func (a *Agent) refuseWaiters(p *pool, cause Cause) {
 	for _, w := range p.waiters {
 		a.emit(Resolve{Token: w.token, Cause: cause})
 	}
--- a/budget/stop_test.go
+++ b/budget/stop_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestStopReturnsAtOnce: a stopping router returns its balance without waiting
-// for the spacing between two writes, also while a request still runs.
+// TestStopReturnsAtOnce: a stopping router returns its balance without waiting for the
+// minimum interval between two writes, even while a request is still running.
 func TestStopReturnsAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, r := lonely(t)
+		n, r := newSingleRouter(t)
 		n.reserve(r, 100)
 		n.perform(r, r.agent.Close(n.at(r)))
 		for range 5 { // a quarter of a second
-			for len(r.store) > 0 {
+			for len(r.storeCalls) > 0 {
 				n.answer(r, "done")
 			}
 			n.now = n.now.Add(50 * time.Millisecond)
@@ -30,31 +30,30 @@
 	})
 }
 
-// TestStopWithoutStoreHandsOver: while the store is away, a stopping router
-// gives what it may use to another one.
+// TestStopWithoutStoreHandsOver: while the store is unavailable, a stopping router hands
+// its usable tokens to another one.
 func TestStopWithoutStoreHandsOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, r := lonely(t)
-		heir := &router{index: 1}
-		n.routers = append(n.routers, heir)
-		n.bootOwnHome(heir)
-		n.takeOver(r)
+		n, r := newSingleRouter(t)
+		successor := &router{index: 1}
+		n.routers = append(n.routers, successor)
+		n.bootOwnHome(successor)
+		n.rebootWithLenders(r)
 		held := r.agent.Holding(testBudget).Balance
 		n.now = n.now.Add(releaseWithin)
 		n.storeLost = true
 		n.perform(r, r.agent.Close(n.at(r)))
-		for len(n.mail) > 0 {
+		for len(n.messages) > 0 {
 			n.deliver(0, "once")
 		}
-		if got := heir.agent.Holding(testBudget).Balance; got != held || held == 0 {
-			t.Fatalf("the heir holds %d of %d tokens", got, held)
+		if got := successor.agent.Holding(testBudget).Balance; got != held || held == 0 {
+			t.Fatalf("the other router holds %d of %d tokens", got, held)
 		}
 	})
 }
 
-// takeOver gives the router a new agent that knows the others as lenders, and
-// lets it draw.
-func (n *network) takeOver(r *router) {
+// rebootWithLenders restarts the router with the others as lenders and lets it draw.
+func (n *network) rebootWithLenders(r *router) {
 	n.now = n.now.Add(time.Minute)
 	n.bootOwnHome(r)
 	n.serve(r, 40)
--- a/budget/tail.go
+++ b/budget/tail.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// The tail of a budget is its last share. It is spent slowly and on small
-// requests alone, so that an account whose budget runs out is still served a
-// little until it is topped up, and not refused altogether.
+// The tail of a budget is its last share. It is released slowly and only to small
+// requests, so that an account whose budget runs out still gets some service until it is
+// topped up, instead of being refused entirely.
 
-// tailFraction is the part of the tail that one request may take at the most: one in two,
-// since the tail of a small budget holds but a few small requests.
-const tailFraction = 2
+// tailDivisor limits one request to one part in tailDivisor of the tail: half, since the
+// tail of a small budget covers only a few small requests.
+const tailDivisor = 2
 
 // tail returns the size of a budget's tail in tokens.
 func (a *Agent) tail(r *Record) int64 {
 	return int64(a.cfg.TailShare * float64(r.Limit))
 }
 
-// inTail tells whether, as far as this router knows, only the tail is left.
-func (a *Agent) inTail(p *purse) bool {
+// inTail reports whether, as far as this router knows, only the tail is left.
+func (a *Agent) inTail(p *pool) bool {
 	r := a.record(p)
 	return r != nil && a.cfg.TailShare > 0 && r.Free() <= a.tail(r)
 }
 
-// noteTail notes when a budget came to its tail.
-func (a *Agent) noteTail(now time.Time, p *purse) {
+// trackTail records when a budget reached its tail.
+func (a *Agent) trackTail(now time.Time, p *pool) {
 	switch {
 	case !a.inTail(p):
 		p.tailSince = time.Time{}
@@ -34,9 +34,8 @@
 	}
 }
 
-// record returns the budget in the router's copy of its page, nil if it has
-// none.
-func (a *Agent) record(p *purse) *Record {
+// record returns the budget in the router's copy of its page, or nil if there is none.
+func (a *Agent) record(p *pool) *Record {
 	ps := a.pages[p.page]
 	if ps == nil || !ps.have {
 		return nil
@@ -44,20 +43,22 @@
 	return ps.page.Budgets[p.id]
 }
 
-// admitsTail tells whether a request may take from the tail: a small one, as far as the
-// schedule has released tokens for it. The schedule goes by time alone, and by what all
-// routers have left of the tail: at which routers the demand arises is not known.
-func (a *Agent) admitsTail(now time.Time, p *purse, need int64) bool {
+// admitsTail reports whether a request may take from the tail: it must be small, and the
+// schedule must have released enough tokens for it. The schedule depends only on time and
+// on what all routers together have left of the tail, since it is not known at which
+// routers the demand arises.
+func (a *Agent) admitsTail(now time.Time, p *pool, need int64) bool {
 	r := a.record(p)
 	tail := a.tail(r)
-	return need <= tail/tailFraction && r.Free()-need >= a.keptOfTail(now, p, tail)
+	return need <= tail/tailDivisor && r.Free()-need >= a.unreleasedTail(now, p, tail)
 }
 
-// keptOfTail is what must be left of the tail now, which noteTail has seen come: a third after the configured time, and
-// a little for long.
-func (a *Agent) keptOfTail(now time.Time, p *purse, tail int64) int64 {
-	times := now.Sub(p.tailSince).Seconds() / a.cfg.TailTime.Seconds()
-	return int64(float64(tail) * math.Exp(-times))
+// unreleasedTail returns how much of the tail must be left now, counted from the time that
+// trackTail recorded: a fraction 1/e (about a third) after TailTime, and a little for long
+// after that.
+func (a *Agent) unreleasedTail(now time.Time, p *pool, tail int64) int64 {
+	elapsed := now.Sub(p.tailSince).Seconds() / a.cfg.TailTime.Seconds()
+	return int64(float64(tail) * math.Exp(-elapsed))
 }
 
 // spendable returns the free tokens of a budget that a draw may take.
--- a/budget/tail_test.go
+++ b/budget/tail_test.go
@@ -9,9 +9,9 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// TestTailLasts: an account that goes on asking far beyond its budget is still
-// served small requests twenty seconds after its budget was all but spent, and
-// no more than the budget is ever spent.
+// TestTailLasts: an account that keeps asking for far more than its budget still gets
+// small requests served twenty seconds after its budget was nearly spent, and never spends
+// more than the budget.
 func TestTailLasts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 200000, limitVersion: 1, tail: true}
@@ -24,7 +24,7 @@
 			for _, need := range []int64{10, large} {
 				n.reserve(r, need)
 				n.perform(r, r.agent.Tick(n.at(r)))
-				for len(r.store) > 0 {
+				for len(r.storeCalls) > 0 {
 					n.answer(r, "done")
 				}
 				if len(r.running) > 0 {
@@ -36,17 +36,18 @@
 			n.checkSpent()
 		}
 		if servedAt[2] == 0 || servedAt[3] == 0 {
-			t.Fatalf("served by ten seconds: %v", servedAt)
+			t.Fatalf("requests served per ten seconds: %v", servedAt)
 		}
 	})
 }
 
-// TestTailIsSpentWhereTheDemandIs: all callers of an account come to one of six routers, and
-// its budget is small. On a played day 0.64 to all of the tails of ten accounts lay still to
-// the end, 15 to 30 s after their budgets were spent: each router took its own demand for a
-// sixth of the fleet's, and a request might take a quarter of what was left, which of a tail
-// of 2,400 tokens no request could. Meanwhile all were refused, and with few requests of
-// plain services in the mix the fleet counted as not recovered from its last fault.
+// TestTailIsSpentWhereTheDemandIs: all callers of an account use one of six routers, and
+// its budget is small. It guards against a tail that stays unused: in a test day from 0.64
+// up to all of the tails of ten accounts was unused at the end, 15 to 30 s after their
+// budgets were spent. Each router assumed that its own demand was a sixth of the fleet's,
+// and a request could take a quarter of what was left, which for a tail of 2,400 tokens no
+// request could use. All requests were refused meanwhile, and with few requests of plain
+// services in the mix the fleet counted as not recovered from its last fault.
 func TestTailIsSpentWhereTheDemandIs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tailOf = 4000 // a fiftieth of the budget
@@ -62,7 +63,7 @@
 		for range 600 { // 10 requests a second, 60 s
 			n.reserve(r, need)
 			n.perform(r, r.agent.Tick(n.at(r)))
-			for len(r.store) > 0 {
+			for len(r.storeCalls) > 0 {
 				n.answer(r, "done")
 			}
 			for len(r.running) > 0 {
@@ -72,7 +73,7 @@
 			n.checkSpent()
 		}
 		if left := n.limit - n.spent; left > tailOf/2 {
-			t.Fatalf("%d of a tail of %d tokens lie still 40 s after the rest was spent, by requests of %d", left, tailOf, need)
+			t.Fatalf("%d of a tail of %d tokens are unused 40 s after the rest was spent, by requests of %d", left, tailOf, need)
 		}
 	})
 }
--- a/budget/try_test.go
+++ b/budget/try_test.go
@@ -6,14 +6,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestTriedReservationLeavesNoTrace: tokens that were taken without waiting and
-// given back whole change neither the balance nor the demand, by which a router
-// holds tokens ahead.
-func TestTriedReservationLeavesNoTrace(t *testing.T) {
+// TestTryReserveLeavesNoTrace: tokens that are reserved without waiting and returned
+// unused change neither the balance nor the demand estimate, which determines how many
+// tokens a router holds in advance.
+func TestTryReserveLeavesNoTrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tried := rapid.IntRange(150, 300).Draw(t, "tried")
 		held := func(tries int) int64 {
-			n, r := lonely(t)
+			n, r := newSingleRouter(t)
 			for range tries {
 				if r.agent.TryReserve(n.at(r), testBudget, 50) {
 					n.perform(r, r.agent.Settle(n.at(r), testBudget, 50, 0))
--- a/budget/undelivered_test.go
+++ b/budget/undelivered_test.go
@@ -7,15 +7,15 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// Guards against questions that multiply while the home of a budget takes none: each that failed
-// made the router ask anew for all waiting requests, so that 28,000 were under way in 2 s at a
-// router whose link was full.
-func TestUndeliveredQuestionsDoNotMultiply(t *testing.T) {
+// Guards against draws that multiply while the home of a budget accepts none: each failed
+// draw made the router send draws again for all waiting requests, so that 28,000 were in
+// transit within 2 s at a router whose link was saturated.
+func TestUndeliveredDrawsDoNotMultiply(t *testing.T) {
 	const (
-		waiting = 40
-		takes   = 200 * time.Millisecond // a question, until it has failed
-		step    = 10 * time.Millisecond
-		span    = 2 * time.Second
+		waiting    = 40
+		failsAfter = 200 * time.Millisecond // until a draw has failed
+		step       = 10 * time.Millisecond
+		span       = 2 * time.Second
 	)
 	for name, to := range map[string]func(now time.Time) string{
 		"one home":        func(time.Time) string { return "x" },
@@ -28,52 +28,52 @@
 			cfg.Started = epoch
 			cfg.Home = func(now time.Time, _ string) string { return to(now) }
 			agent := budget.NewAgent(cfg)
-			type question struct {
+			type sentDraw struct {
 				message budget.Message
 				fails   time.Time
 			}
-			var out []question
-			asked, most := 0, 0
-			carry := func(effects []budget.Effect) {
+			var inTransit []sentDraw
+			sent, most := 0, 0
+			perform := func(effects []budget.Effect) {
 				for _, e := range effects {
 					if s, ok := e.(budget.Send); ok {
-						asked++
-						out = append(out, question{s.Message, now.Add(takes)})
+						sent++
+						inTransit = append(inTransit, sentDraw{s.Message, now.Add(failsAfter)})
 					}
 				}
-				most = max(most, len(out))
+				most = max(most, len(inTransit))
 			}
-			for _, id := range []string{"x", "y", "z"} { // tokens are scarce: each request is asked for by itself
+			for _, id := range []string{"x", "y", "z"} { // tokens are scarce: one draw per request
 				agent.Receive(now, budget.Message{Kind: budget.Grant, Budget: "b", From: budget.Peer{ID: id, Incarnation: id + "/1"}, To: cfg.Self, Scarce: true})
 			}
 			for range waiting {
 				_, _, effects := agent.Reserve(now, "b", 10)
-				carry(effects)
+				perform(effects)
 			}
-			for end := now.Add(span); now.Before(end) && asked < 20_000; now = now.Add(step) {
-				for len(out) > 0 && !out[0].fails.After(now) {
-					failed := out[0].message
-					out = out[1:]
-					carry(agent.Undelivered(now, failed, true))
+			for end := now.Add(span); now.Before(end) && sent < 20_000; now = now.Add(step) {
+				for len(inTransit) > 0 && !inTransit[0].fails.After(now) {
+					failed := inTransit[0].message
+					inTransit = inTransit[1:]
+					perform(agent.Undelivered(now, failed, true))
 				}
-				carry(agent.Tick(now))
+				perform(agent.Tick(now))
 			}
-			// A question a waiting request for each home, and one a failure after that.
-			if budget := 3*waiting + int(span/takes)*waiting; asked > budget {
-				t.Errorf("%d questions in %v, at most %d", asked, span, budget)
+			// One draw per waiting request for each home, and one per failure after that.
+			if maxSent := 3*waiting + int(span/failsAfter)*waiting; sent > maxSent {
+				t.Errorf("%d draws in %v, at most %d", sent, span, maxSent)
 			}
 			if most > 3*waiting {
-				t.Errorf("%d questions under way at once for %d waiting requests", most, waiting)
+				t.Errorf("%d draws in transit at once for %d waiting requests", most, waiting)
 			}
-			if asked < int(span/takes)/2 {
-				t.Errorf("%d questions: the router has given up", asked)
+			if sent < int(span/failsAfter)/2 {
+				t.Errorf("%d draws: the router has given up", sent)
 			}
 		})
 	}
 }
 
-// Guards against a router that does not ask again at once where the home is another process than
-// before, or goes on to hold questions back once the home takes them.
+// Guards against a router that does not immediately ask a home that runs as a new process,
+// or that keeps holding draws back once the home accepts them.
 func TestRestartedHomeIsAskedAtOnce(t *testing.T) {
 	now := epoch.Add(time.Hour)
 	cfg := budget.DefaultConfig()
@@ -98,7 +98,7 @@
 	_, _, effects := agent.Reserve(now, "b", 10)
 	first := draws(effects)
 	if len(first) != 1 {
-		t.Fatalf("%d questions for a reservation", len(first))
+		t.Fatalf("%d draws for a reservation", len(first))
 	}
 	grant(first[0], "x/1")
 	_, _, effects = agent.Reserve(now, "b", 10)
@@ -106,7 +106,7 @@
 	if len(second) != 1 || second[0].To.Incarnation != "x/1" {
 		t.Fatalf("asked %+v", second)
 	}
-	third := draws(agent.Undelivered(now, second[0], true)) // it runs as x/2
+	third := draws(agent.Undelivered(now, second[0], true)) // it now runs as x/2
 	if len(third) != 1 || third[0].To.Incarnation != "" {
 		t.Fatalf("after the home has restarted: asked %+v", third)
 	}
@@ -121,7 +121,7 @@
 	grant(fourth[0], "x/2")
 	for range 2 {
 		if _, _, effects = agent.Reserve(now, "b", 10); len(draws(effects)) != 1 {
-			t.Error("a question waits although the home answers")
+			t.Error("a draw waits although the home answers")
 		}
 	}
 }
