--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,97 +16,98 @@
 )
 
 const (
-	// connectionShare is the part of a server's connections that the routers
-	// share out evenly among them; the rest is for uneven shares.
-	connectionShare = 0.9
-	// leastShare is the part of a server's connections that any router may use.
-	leastShare = 0.1
+	// sharedConnectionFraction is the fraction of a server's connections that is divided
+	// evenly among the routers; the rest absorbs uneven load.
+	sharedConnectionFraction = 0.9
+	// minConnectionFraction is the fraction of a server's connections that any single router
+	// may use.
+	minConnectionFraction = 0.1
 )
 
-// attempt is the sending of a request to one server.
+// attempt is one dispatch of a request to one server.
 type attempt struct {
 	*call
 	server placement.Server
-	// permit is what a server with a rate limit gets the request by.
+	// permit admits the request to a server with a rate limit.
 	permit limits.Permit
-	// last tells that no further server may be asked.
-	last bool
-	// read tells that the server has read the prompt.
-	read bool
-	// eventAt is when the server's last event came; zero: none has.
-	eventAt time.Time
-	// judged is what the attempt says about the server.
-	judged placement.Outcome
-	err    error
-	name   string
-	note   attemptNote
+	// isLast reports that no further server may be tried.
+	isLast bool
+	// promptRead reports that the server has read the prompt.
+	promptRead bool
+	// lastEventAt is when the server's last event arrived; zero if none has.
+	lastEventAt time.Time
+	// serverOutcome is the outcome reported to placement for the server.
+	serverOutcome placement.Outcome
+	err           error
+	outcomeLabel  string
+	record        attemptRecord
 }
 
-func (a *attempt) verdictName() string {
+func (a *attempt) outcomeText() string {
 	if a.err == nil {
-		return a.name
+		return a.outcomeLabel
 	}
-	return a.name + " (" + a.err.Error() + ")"
+	return a.outcomeLabel + " (" + a.err.Error() + ")"
 }
 
-func (a *attempt) end(v verdict, name string, judged placement.Outcome, err error) verdict {
-	a.name, a.judged, a.err = name, judged, err
-	return v
+func (a *attempt) finish(d disposition, label string, serverOutcome placement.Outcome, err error) disposition {
+	a.outcomeLabel, a.serverOutcome, a.err = label, serverOutcome, err
+	return d
 }
 
-// errOther marks an answer of another server at the address.
-var errOther = errors.New("another server answers at the address")
+// errOtherServer marks a response from a different server at the address.
+var errOtherServer = errors.New("another server answers at the address")
 
-// errUnsigned marks an answer that the server did not make.
-var errUnsigned = errors.New("the answer carries no signature")
+// errUnsigned marks a response that was not produced by the server itself.
+var errUnsigned = errors.New("the response is not signed")
 
-// run makes the attempt.
-func (a *attempt) run(ctx context.Context) verdict {
+// run sends the request to the server and forwards its response.
+func (a *attempt) run(ctx context.Context) disposition {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := a.impatient(cancel)
-	defer patience.stop()
+	wd := a.startWatchdog(cancel)
+	defer wd.stop()
 	sent := clock.Now()
 	answer, failure := a.g.Pool.Send(ctx, a.request())
 	if failure != nil {
-		return a.failedSend(ctx, failure)
+		return a.sendFailed(ctx, failure)
 	}
 	defer answer.Close()
-	a.note.answered(answer)
-	told := a.g.Protocol.Answer(answer.StatusCode, answer.Header)
-	a.observeLimit(sent, answer, told)
+	a.record.setAnswer(answer)
+	info := a.g.Protocol.Answer(answer.StatusCode, answer.Header)
+	a.observeLimit(sent, answer, info)
 	switch {
-	case told.OtherServer:
+	case info.OtherServer:
 		a.g.Servers.Replaced(a.server.Incarnation())
-		return a.end(notRun, "replaced", placement.Failed, errOther)
-	case told.NotRun:
-		return a.end(notRun, "refused", placement.Failed, fmt.Errorf("status %d", answer.StatusCode))
+		return a.finish(notRun, "replaced", placement.Failed, errOtherServer)
+	case info.NotRun:
+		return a.finish(notRun, "refused", placement.Failed, fmt.Errorf("status %d", answer.StatusCode))
 	}
-	a.ran = true
-	if !told.Signed && answer.StatusCode < http.StatusMultipleChoices {
-		a.unseen++
-		return a.end(failed, "unsigned", placement.Failed, errUnsigned)
+	a.mayHaveRun = true
+	if !info.Signed && answer.StatusCode < http.StatusMultipleChoices {
+		a.unobserved++
+		return a.finish(failed, "unsigned", placement.Failed, errUnsigned)
 	}
 	switch {
-	case a.reply.hasBegun() && !a.goesOn(answer):
-		// The caller has a part of a stream: no other answer may follow it, and none
-		// is its end.
-		return a.end(failed, "no stream", judgedByStatus(answer.StatusCode), fmt.Errorf("status %d", answer.StatusCode))
+	case a.reply.hasBegun() && !a.continuesStream(answer):
+		// The caller has part of a stream. A response that is not its continuation must
+		// neither be appended to the stream nor end it.
+		return a.finish(failed, "no stream", outcomeForStatus(answer.StatusCode), fmt.Errorf("status %d", answer.StatusCode))
 	case a.route.Kind == catalog.Stream && answer.StatusCode == http.StatusOK:
-		return a.relayStream(ctx, answer, patience)
-	case promisesNotRun(answer.StatusCode):
-		// The server did not say that it did not run the request, so it may have.
-		return a.end(failed, "false promise", judgedByStatus(answer.StatusCode), fmt.Errorf("status %d", answer.StatusCode))
-	case answer.StatusCode >= http.StatusInternalServerError && a.route.MayRepeat() && !a.last:
-		return a.end(failed, "error", placement.Failed, fmt.Errorf("status %d", answer.StatusCode))
+		return a.relayStream(ctx, answer, wd)
+	case statusMeansNotRun(answer.StatusCode):
+		// The server did not state that it did not run the request, so it may have run it.
+		return a.finish(failed, "false promise", outcomeForStatus(answer.StatusCode), fmt.Errorf("status %d", answer.StatusCode))
+	case answer.StatusCode >= http.StatusInternalServerError && a.route.MayRepeat() && !a.isLast:
+		return a.finish(failed, "error", placement.Failed, fmt.Errorf("status %d", answer.StatusCode))
 	default:
-		return a.relayPlain(ctx, answer, patience)
+		return a.relayPlain(ctx, answer, wd)
 	}
 }
 
-// promisesNotRun tells whether callers take a status for the promise that their
-// request has not run and never will.
-func promisesNotRun(status int) bool {
+// statusMeansNotRun reports whether callers take a status as a promise that their request has
+// not run and never will.
+func statusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -115,21 +116,21 @@
 	}
 }
 
-// judgedByStatus is what the status of an answer says about its server.
-func judgedByStatus(status int) placement.Outcome {
+// outcomeForStatus returns the placement outcome for a response status.
+func outcomeForStatus(status int) placement.Outcome {
 	if status >= http.StatusInternalServerError {
 		return placement.Failed
 	}
 	return placement.Answered
 }
 
-// request builds what is sent to the server.
+// request builds the upstream request.
 func (a *attempt) request() *upstream.Request {
-	h := passed(a.r.Header)
+	h := endToEndHeaders(a.r.Header)
 	d := exchange.Dispatch{
 		Server:    a.server.ID,
 		Deadline:  clock.Until(a.deadline),
-		LastEvent: a.stream.at.LastID(),
+		LastEvent: a.stream.position.LastID(),
 		Ranked:    a.service.Engine != nil,
 		Priority:  a.priority(),
 	}
@@ -140,36 +141,36 @@
 	return &upstream.Request{
 		Address:        a.server.Address,
 		Owner:          a.server.Incarnation(),
-		MaxConnections: a.connections(),
+		MaxConnections: a.connectionLimit(),
 		Method:         a.r.Method,
 		Target:         a.r.RequestURI,
 		Host:           a.r.Host,
 		Header:         h,
 		Body:           a.body,
-		Holds:          a.holds,
-		Belongs:        a.belongs,
+		Holds:          a.maySend,
+		Belongs:        a.matchAnswer,
 	}
 }
 
-// holds tells, when a connection to the server is there, whether the request should
-// still go there.
-func (a *attempt) holds() bool {
-	a.noteAge()
-	return !a.overdue() && !callerGone(a.r) && a.g.late() == nil && a.g.Servers.Claim(a.server, a.permit)
+// maySend reports, once a connection to the server is available, whether the request should
+// still be sent on it.
+func (a *attempt) maySend() bool {
+	a.recordServersAge()
+	return !a.deadlinePassed() && !callerGone(a.r) && a.g.staleRefusal() == nil && a.g.Servers.Claim(a.server, a.permit)
 }
 
-// rankSizes are the prompt sizes, in new tokens, from which a request gives way
-// to smaller ones: an engine reads one prompt after the other, and a small one
-// behind a large one would miss its objective.
-var rankSizes = []int64{1500, 4000, 10000, 20000}
+// priorityThresholds are the prompt sizes, in new tokens, at which a request yields to smaller
+// ones. An engine reads prompts one after another, so a small prompt behind a large one would
+// miss its latency objective.
+var priorityThresholds = []int64{1500, 4000, 10000, 20000}
 
-// firstRank is the priority of the smallest prompts.
-const firstRank = 3
+// smallPromptPriority is the priority of the smallest prompts.
+const smallPromptPriority = 3
 
-// priority ranks a prompt by its size.
+// priority returns the priority of a prompt by its size.
 func (a *attempt) priority() int {
-	rank := firstRank
-	for _, size := range rankSizes {
+	rank := smallPromptPriority
+	for _, size := range priorityThresholds {
 		if a.newTokens >= size {
 			rank++
 		}
@@ -177,66 +178,66 @@
 	return rank
 }
 
-// promptRead notes, once, that the server has read the prompt or will not.
-func (a *attempt) promptRead() {
-	if a.read {
+// recordPromptRead records, once, that the server has read the prompt or will not read it.
+func (a *attempt) recordPromptRead() {
+	if a.promptRead {
 		return
 	}
-	a.read = true
+	a.promptRead = true
 	a.g.Servers.Read(a.server.Incarnation(), a.newTokens)
 }
 
-// connections is this router's share of the server's connections. In a large
-// fleet the shares that callers make are so uneven that a few routers may need
-// many times an even one.
-func (a *attempt) connections() int {
-	limit := connectionShare * float64(a.service.MaxConnections)
+// connectionLimit returns how many of the server's connections this router may use; 0 is no
+// limit. In a large fleet callers are distributed so unevenly that a few routers may need many
+// times an even share.
+func (a *attempt) connectionLimit() int {
+	limit := sharedConnectionFraction * float64(a.service.MaxConnections)
 	if limit == 0 {
 		return 0
 	}
 	share := limit / float64(max(a.g.Routers(), 1))
-	return max(int(max(share, limit*leastShare)), 1)
+	return max(int(max(share, limit*minConnectionFraction)), 1)
 }
 
-// belongs tells whose answer one is. One that says that the request did not run may
-// lack the id.
-func (a *attempt) belongs(resp *http.Response) upstream.Belonging {
-	told := a.g.Protocol.Answer(resp.StatusCode, resp.Header)
+// matchAnswer reports which request a response belongs to. A response stating that the request
+// did not run may lack the request id.
+func (a *attempt) matchAnswer(resp *http.Response) upstream.Belonging {
+	info := a.g.Protocol.Answer(resp.StatusCode, resp.Header)
 	switch {
-	case told.RequestID == a.ID:
+	case info.RequestID == a.ID:
 		return upstream.Mine
-	case told.RequestID == "" && told.NotRun:
+	case info.RequestID == "" && info.NotRun:
 		return upstream.Unnamed
 	default:
 		return upstream.Foreign
 	}
 }
 
-// failedSend judges a request without the head of an answer.
-func (a *attempt) failedSend(ctx context.Context, f *upstream.Failure) verdict {
+// sendFailed ends an attempt that received no response head.
+func (a *attempt) sendFailed(ctx context.Context, f *upstream.Failure) disposition {
 	if f.Stage == upstream.NotSent {
-		judged := placement.Silent
+		serverOutcome := placement.Silent
 		if f.Full || f.Outdated || a.g.Full() || a.r.Context().Err() != nil {
-			judged = placement.Neutral
+			serverOutcome = placement.Neutral
 		}
-		return a.end(notReached, "not reached", judged, f)
+		return a.finish(notReached, "not reached", serverOutcome, f)
 	}
-	a.ran = true
-	return a.broken(ctx, f)
+	a.mayHaveRun = true
+	return a.endBroken(ctx, f)
 }
 
-// broken ends an attempt whose answer did not come or broke off.
-func (a *attempt) broken(ctx context.Context, err error) verdict {
-	a.unseen++
+// endBroken ends an attempt whose response was missing or truncated.
+func (a *attempt) endBroken(ctx context.Context, err error) disposition {
+	a.unobserved++
 	switch {
 	case a.r.Context().Err() != nil:
-		return a.end(failed, "caller gone", placement.Neutral, nil)
+		return a.finish(failed, "caller gone", placement.Neutral, nil)
 	case errors.Is(context.Cause(ctx), errTooSlow):
-		return a.end(failed, "too slow", placement.Failed, errTooSlow)
+		return a.finish(failed, "too slow", placement.Failed, errTooSlow)
 	case ctx.Err() != nil:
-		return a.end(failed, "timeout", placement.Failed, err)
+		return a.finish(failed, "timeout", placement.Failed, err)
 	default:
-		a.known().Broke(a.server)
-		return a.end(failed, "broken", placement.Failed, err)
+		a.poisonStatus().Broke(a.server)
+		return a.finish(failed, "broken", placement.Failed, err)
 	}
 }
--- /dev/null
+++ b/gateway/attempt_record.go
@@ -0,0 +1,96 @@
+package gateway
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"go.uber.org/zap/zapcore"
+
+	"github.com/gaplink/gaplink/eventstream"
+	"github.com/gaplink/gaplink/upstream"
+)
+
+// attemptRecord is the log record of one attempt: the server's response, how the end of that
+// response could be verified, and what was forwarded. Together the records of a request show
+// whether the response that its caller received was verified as complete.
+type attemptRecord struct {
+	server  string
+	outcome string
+	after   time.Duration
+	// serversAge is the staleness of the server registrations before the first byte was sent,
+	// measured from the store's response; below 0: unknown.
+	serversAge time.Duration
+	// status is 0 if no response head arrived.
+	status int
+	// framed reports that the response's own framing marks its end.
+	framed bool
+	// events is the number of events forwarded, and firstID and lastID are the ids of the
+	// first and the last of them.
+	events          int
+	firstID, lastID string
+}
+
+// unknownAge marks an unknown staleness.
+const unknownAge = -1
+
+// recordServersAge records the staleness of the server registrations.
+func (a *attempt) recordServersAge() {
+	if a.g.ServersAge == nil {
+		return
+	}
+	a.record.serversAge = a.g.ServersAge()
+	a.g.Metrics.serversAge(a.record.serversAge)
+}
+
+// setAnswer records the head of the server's response.
+func (n *attemptRecord) setAnswer(answer *upstream.Answer) {
+	n.status = answer.StatusCode
+	n.framed = answer.Framed()
+}
+
+// addEvents records events that are forwarded to the caller.
+func (n *attemptRecord) addEvents(batch eventstream.Batch) {
+	if n.events == 0 {
+		n.firstID = batch.FirstID
+	}
+	n.events += batch.Events
+	if batch.LastID != "" {
+		n.lastID = batch.LastID
+	}
+}
+
+// String formats the record as an entry of the log line's attempts field, such as
+//
+//	s1 broken (unexpected EOF) 1.213s, servers as of 310ms before, status 200 framed, 12 events 1..12
+func (n *attemptRecord) String() string {
+	var b strings.Builder
+	b.WriteString(n.server + " " + n.outcome + " " + n.after.Round(time.Millisecond).String())
+	if n.serversAge >= 0 {
+		b.WriteString(", servers as of " + n.serversAge.Round(time.Millisecond).String() + " before")
+	}
+	if n.status == 0 {
+		return b.String()
+	}
+	b.WriteString(", status " + strconv.Itoa(n.status))
+	if n.framed {
+		b.WriteString(" framed")
+	} else {
+		b.WriteString(" unframed")
+	}
+	if n.events > 0 {
+		b.WriteString(", " + strconv.Itoa(n.events) + " events " + n.firstID + ".." + n.lastID)
+	}
+	return b.String()
+}
+
+// attemptRecords encodes the attempts of a request for the log.
+type attemptRecords []attemptRecord
+
+// MarshalLogArray implements zapcore.ArrayMarshaler.
+func (records attemptRecords) MarshalLogArray(enc zapcore.ArrayEncoder) error {
+	for i := range records {
+		enc.AppendString(records[i].String())
+	}
+	return nil
+}
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -10,8 +10,8 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// The length that a caller announces is no more than a claim: it must not decide
-// how much memory is taken before it is compared with the limit.
+// The Content-Length announced by a caller is unverified: no memory may be allocated by it
+// before it is compared with the limit.
 func TestAnnouncedLengthOverTheLimitTakesNoMemory(t *testing.T) {
 	c, err := catalog.New(1, catalog.Limits{MaxBodyBytes: 100}, nil, nil, nil)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "/once/x", strings.NewReader("a"))
-	r.ContentLength = 1 << 50 // more than any allocation can have: it panics, and ends the process if a little smaller
+	r.ContentLength = 1 << 50 // larger than any allocation can be: it panics, and a slightly smaller size kills the process
 	g := &Gateway{}
 	defer func() {
 		if p := recover(); p != nil {
--- a/gateway/gone.go
+++ b/gateway/caller_gone.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// callerGone tells whether the caller has closed its connection. The context of a
-// request ends by that too, but only when the goroutine that reads from the
-// connection has had its turn: on an instance whose processor time is used up, requests
-// would be sent to servers for callers that left long before.
+// callerGone reports whether the caller has closed its connection. The request's context is
+// cancelled by that too, but only once the goroutine that reads from the connection is
+// scheduled: on an instance short of CPU, requests would be sent to servers for callers that
+// disconnected long before.
 func callerGone(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
@@ -28,10 +28,10 @@
 	return gone || err != nil
 }
 
-// peerClosed tells whether the other side of a socket has closed it. It takes nothing
-// of what has arrived.
+// peerClosed reports whether the peer has closed a socket. It consumes none of the received
+// bytes.
 func peerClosed(fd int) bool {
-	var one [1]byte
-	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buf [1]byte
+	n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET)
 }
--- a/gateway/gone_test.go
+++ b/gateway/caller_gone_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// accepted returns both sides of a connection, and a request that came over it.
-func accepted(t *testing.T) (caller, router *net.TCPConn, r *http.Request) {
+// connectCaller returns both sides of a connection and a request received over it.
+func connectCaller(t *testing.T) (caller, router *net.TCPConn, r *http.Request) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 	return out.(*net.TCPConn), in.(*net.TCPConn), r.WithContext(ConnContext(context.Background(), in))
 }
 
-// eventually waits for what another goroutine of the kernel does.
+// eventually waits for an effect of the kernel's asynchronous TCP processing.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 200 {
@@ -46,34 +46,35 @@
 	t.Error(what)
 }
 
-// TestCallerGoneIsSeenWithoutReading: the pattern is an instance short of processor
-// time whose callers give up: nobody has read from their connections yet.
-func TestCallerGoneIsSeenWithoutReading(t *testing.T) {
-	caller, router, r := accepted(t)
+// TestCallerGoneIsDetectedWithoutReading covers an instance short of CPU whose callers
+// disconnect before any goroutine has read from their connections.
+func TestCallerGoneIsDetectedWithoutReading(t *testing.T) {
+	caller, router, r := connectCaller(t)
 	if callerGone(r) {
-		t.Fatal("gone while it waits")
+		t.Fatal("reported gone while still waiting")
 	}
 	if _, err := io.WriteString(caller, "GET"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(20 * time.Millisecond)
 	if callerGone(r) {
-		t.Fatal("gone although it sends its next request")
+		t.Fatal("reported gone after sending its next request")
 	}
 	got := make([]byte, 3)
 	if _, err := io.ReadFull(router, got); err != nil || string(got) != "GET" {
-		t.Fatalf("looking took bytes away: %q, %v", got, err)
+		t.Fatalf("the check consumed bytes: %q, %v", got, err)
 	}
 	_ = caller.Close()
-	eventually(t, "not gone after it closed", func() bool { return callerGone(r) })
+	eventually(t, "close not detected", func() bool { return callerGone(r) })
 }
 
-// TestCallerThatResetIsGone: a caller that gave up with bytes unread.
-func TestCallerThatResetIsGone(t *testing.T) {
-	caller, _, r := accepted(t)
+// TestCallerResetIsDetected covers a caller that disconnects with unread bytes, which resets
+// the connection.
+func TestCallerResetIsDetected(t *testing.T) {
+	caller, _, r := connectCaller(t)
 	if err := caller.SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	_ = caller.Close()
-	eventually(t, "not gone after a reset", func() bool { return callerGone(r) })
+	eventually(t, "reset not detected", func() bool { return callerGone(r) })
 }
--- a/gateway/spent_test.go
+++ b/gateway/charge_test.go
@@ -7,10 +7,9 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// The pattern of these cases is answers that are lost on their way: the server
-// generates all of an answer and the router sees none or a part of it. On a played
-// day with a tenth of the answers lost a budget was overspent by 0.3% when only
-// what had been seen was charged.
+// Covers responses that are lost on the way: the server generates all of a response and the
+// router sees none or part of it. In a scenario run with a tenth of the responses lost,
+// charging only the observed tokens overspent a budget by 0.3%.
 func TestSpentIsNeverLessThanWhatServersMayHaveGenerated(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -29,7 +28,7 @@
 		{name: "cut twice", ran: true, unseen: 2, seen: 90, end: result.BackendCut, want: 1200},
 	}
 	for _, k := range cases {
-		c := &call{ran: k.ran, unseen: k.unseen, outcome: k.end}
+		c := &call{mayHaveRun: k.ran, unobserved: k.unseen, outcome: k.end}
 		c.Request = exchange.Request{TokensIn: 800, MaxTokensOut: 200}
 		c.stream.tokens = k.seen
 		c.reserved = c.Worst() + int64(max(k.unseen-1, 0))*c.MaxTokensOut
--- a/gateway/ending_test.go
+++ b/gateway/completion_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// delivery is more than loopback takes to deliver what a server has sent; a reset
-// discards the rest.
-const delivery = 100 * time.Millisecond
+// deliveryTime is more than loopback needs to deliver sent bytes; a reset discards undelivered
+// ones.
+const deliveryTime = 100 * time.Millisecond
 
 // post sends a POST without a body over HTTP/1.1.
 func post(t *testing.T, web *httptest.Server, path string) reply {
@@ -21,21 +21,14 @@
 	return call(t, web, "HTTP/1.1", http.MethodPost, path, "Content-Length: 0")
 }
 
-// Seen: a stream of some events reached its caller as complete, with the head and
-// signature of its server and the last chunk of a chunked body, and the rest of the
-// events was missing.
-//
-// How it came about: the server broke off in the middle, and the stream went on at
-// another server, as its route allows. That one answered an error.
-//
-// Cause: whatever is not a 200 was passed on as a plain answer, also when the
-// caller had the head and some events of another answer already. The error's body
-// went into the stream, and the handler returned in order, which ends the caller's
-// answer as complete. Nothing asked whether the end of the stream had been seen.
-//
-// Proof: in the log, each short answer had a head of status 200 and a last attempt
-// of another status, and no other request had; the servers' answers are scripted
-// here.
+// Guards against a truncated stream that reaches its caller as complete: with the head and
+// signature of its server and a final chunk, but without its remaining events. The first
+// server broke off midway, the stream was resumed at another server as its route allows, and
+// that server returned an error. Any status other than 200 was forwarded as a plain response,
+// even into a stream that had begun, and the handler returned normally, which completes the
+// caller's response without a check that the stream's end was seen. In the log each such
+// response had a head of status 200 and a last attempt of another status, and no other request
+// had.
 func TestStreamIsNotEndedByTheErrorOfAnotherServer(t *testing.T) {
 	bodies := map[string][2]string{
 		"length": {"Content-Length: 5", "error"},
@@ -55,17 +48,17 @@
 				})
 				got := post(t, web, "/stream/x")
 				if got.claim != broken || got.body != events(1, 3) {
-					t.Fatalf("%s answer of status %d: %q; three events of more must be broken off", got.claim, got.status, got.body)
+					t.Fatalf("%s answer of status %d: %q; want three events and an aborted reply", got.claim, got.status, got.body)
 				}
 			})
 		}
 	}
 }
 
-// An answer with neither length nor chunks ends with its connection, and a server
-// that dies between two writes ends it in the same way: the router cannot tell
-// whether it was whole, and must not tell its caller that it was. Whole answers
-// come so too, so none is withheld.
+// A response with neither length nor chunks ends when its connection closes, and so does one
+// of a server that crashes between two writes. The router cannot tell whether it is complete
+// and must not claim so to its caller. Complete responses come in this form too, so none is
+// withheld.
 func TestUnframedAnswerIsPassedOnUnframed(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/once-stream/x", "/safe/x", "/once/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -83,7 +76,7 @@
 	}
 }
 
-// A large answer is passed on as it arrives, with the framing that its server gave.
+// A large response is forwarded as it arrives, with the framing of its server.
 func TestLargeAnswerKeepsItsFraming(t *testing.T) {
 	large := strings.Repeat("x", 3<<20)
 	for name, k := range map[string]struct {
@@ -103,9 +96,9 @@
 	}
 }
 
-// An answer that has begun to reach its caller cannot be replaced, so it is not given
-// up for lateness either.
-func TestLargeAnswerThatHasBegunIsNotGivenUp(t *testing.T) {
+// A response that has begun to reach its caller cannot be replaced, so it is not cancelled for
+// being slow either.
+func TestStartedLargeAnswerIsNotCancelled(t *testing.T) {
 	large := strings.Repeat("x", 3<<20)
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, _ int) {
 		send(c, head(r, 200, fmt.Sprint("Content-Length: ", len(large))), large[:2<<20])
@@ -117,9 +110,9 @@
 	}
 }
 
-// A server that dies before the first byte closes its connection as one does that
-// has nothing to say. Nothing is lost by asking another one.
-func TestUnframedEmptyAnswerIsAskedForElsewhere(t *testing.T) {
+// A server that crashes before the first byte closes its connection just like one with an
+// empty response. Trying another server is safe.
+func TestUnframedEmptyAnswerIsRetried(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
 			send(c, head(r, 200, closeField))
@@ -132,9 +125,9 @@
 	}
 }
 
-// A server that dies before the first event closes its connection as one does that
-// has nothing to say. Nothing is lost by asking another one.
-func TestUnframedEmptyStreamIsAskedForElsewhere(t *testing.T) {
+// A server that crashes before the first event closes its connection just like one with an
+// empty stream. Trying another server is safe.
+func TestUnframedEmptyStreamIsRetried(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
 			send(c, head(r, 200, closeField))
@@ -147,8 +140,8 @@
 	}
 }
 
-// A caller whose answer has no framing takes a closed connection for its end, so
-// an answer that broke off must reach it as a reset.
+// A caller whose response has no framing takes a closed connection for its end, so a truncated
+// response must reach it as a connection reset.
 func TestBrokenAnswerNeverLooksComplete(t *testing.T) {
 	large := strings.Repeat("x", 3<<20)
 	endings := map[string]script{
@@ -186,7 +179,7 @@
 		t.Run("large answer, "+name, func(t *testing.T) {
 			web := newGateway(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
 				send(c, head(r, 200, framing[0]), framing[1])
-				time.Sleep(delivery)
+				time.Sleep(deliveryTime)
 				reset(c)
 			})
 			for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
@@ -200,7 +193,7 @@
 		web := newGateway(t, 1, 1, endings["framed, cut"])
 		defer func() {
 			if recover() != http.ErrAbortHandler {
-				t.Error("the handler returned in order, which ends the answer as complete")
+				t.Error("the handler returned normally, which completes the response")
 			}
 		}()
 		r := httptest.NewRequest(http.MethodPost, "/once-stream/x", nil)
@@ -210,9 +203,9 @@
 	})
 }
 
-// The statuses 408, 421, 429 and 503 promise a caller that its request has not run
-// and never will. A server that ran it and answers one of them, without saying that
-// it did not run, must not make the router promise that.
+// The statuses 408, 421, 429 and 503 promise a caller that its request has not run and never
+// will. If a server that ran the request returns one of them without stating that it did not
+// run it, the router must not pass that promise on.
 func TestStatusOfAServerIsNoPromise(t *testing.T) {
 	for _, status := range []int{408, 421, 429, 503} {
 		for _, path := range []string{"/stream/x", "/once-stream/x", "/safe/x", "/once/x"} {
@@ -228,8 +221,8 @@
 	}
 }
 
-// A message of HTTP/1.0 knows no chunks. One that is sent in chunks all the same has
-// no framing that can be trusted, and its chunk sizes are no part of a body.
+// HTTP/1.0 has no chunked encoding. A message that uses it all the same has no reliable
+// framing, and its chunk sizes must not be taken for body bytes.
 func TestChunksOfHTTP10AreNoAnswer(t *testing.T) {
 	for _, path := range []string{"/once-stream/x", "/safe/x", "/once/x"} {
 		web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, _ int) {
@@ -242,9 +235,9 @@
 	}
 }
 
-// An answer that names no request is one to the only request that its connection
-// has carried, or to nobody known: on a kept connection it may be a late second
-// answer to an earlier request, and its promise is not one for this request.
+// A response without a request id can be attributed only if its connection has carried a
+// single request. On a reused connection it may be a late second response to an earlier
+// request, so its statement that the request did not run does not apply to this one.
 func TestUnnamedPromiseOnAKeptConnectionIsNotTaken(t *testing.T) {
 	ran := make(chan struct{}, 1)
 	web := newGateway(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
@@ -267,8 +260,8 @@
 	}
 }
 
-// On a new connection such an answer can only be to the request, and what it
-// promises is passed on.
+// On a new connection a response without a request id can only belong to this request, and its
+// statement that the request did not run is passed on.
 func TestUnnamedPromiseOnANewConnectionIsTaken(t *testing.T) {
 	web := newGateway(t, 1, 1, func(c *net.TCPConn, _ *http.Request, _ int) {
 		send(c, "HTTP/1.1 503 Service Unavailable\r\n", headerNotRun, ": yes\r\nContent-Length: 0\r\n\r\n")
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// busyRetry is when to come back after servers refused: a slot of a plain
+	// busyRetryAfter is the Retry-After when servers refused the request: a slot of a plain
 	// service is free again after about this time.
-	busyRetry = 250 * time.Millisecond
-	// noServerRetry is when to come back when no server is in use.
-	noServerRetry = 500 * time.Millisecond
-	// refusedElsewhere is how many servers beyond the route's attempts may be
-	// asked after one that certainly did not run the request.
-	refusedElsewhere = 1
-	// dialsAtMost bounds the servers that are tried without reaching one.
-	dialsAtMost = 4
+	busyRetryAfter = 250 * time.Millisecond
+	// noServerRetryAfter is the Retry-After when no server is in use.
+	noServerRetryAfter = 500 * time.Millisecond
+	// extraAfterRefusal is how many servers beyond the route's attempts may be tried after one
+	// that certainly did not run the request.
+	extraAfterRefusal = 1
+	// maxUnreached bounds the servers that are tried without reaching one.
+	maxUnreached = 4
 )
 
-// verdict is how an attempt ended.
-type verdict int
+// disposition is how an attempt ended.
+type disposition int
 
 const (
-	// served: the answer went to the caller whole.
-	served verdict = iota
-	// notReached: no byte was handed to the server.
+	// served: the response was forwarded to the caller in full.
+	served disposition = iota
+	// notReached: nothing was sent to the server.
 	notReached
 	// notRun: the server certainly did not run the request.
 	notRun
-	// failed: the request may have run, and there is no usable answer.
+	// failed: the request may have run, and there is no usable response.
 	failed
-	// ended: the request is over, with its outcome set.
+	// ended: the request is finished and its outcome is set.
 	ended
 )
 
-// dispatch sends the request to servers until one answers, or it must end.
+// dispatch sends the request to servers until one responds or no further attempt is allowed.
 func (c *call) dispatch() {
 	c.chooseService()
 	c.g.Retries.Request(c.service.Name)
@@ -48,37 +48,37 @@
 	defer cancel()
 	defer c.g.running.add(c, cancel)()
 	tried := map[placement.Incarnation]bool{}
-	var so tally
+	var counts attemptCounts
 	for {
 		a, refusal := c.pick(ctx, tried)
 		if refusal != nil {
-			c.giveUp(refusal)
+			c.fail(refusal)
 			return
 		}
 		tried[a.server.Incarnation()] = true
-		a.last = so.sent+1 >= c.route.Attempts || !c.g.Retries.Left(c.service.Name)
-		v := a.run(ctx)
-		c.noteEnd(a)
-		if v == served || v == ended {
+		a.isLast = counts.sent+1 >= c.route.Attempts || !c.g.Retries.Left(c.service.Name)
+		d := a.run(ctx)
+		c.recordAttempt(a)
+		if d == served || d == ended {
 			return
 		}
-		so.add(v)
-		if stop := c.mayGoOn(ctx, v, a, so); stop != nil {
-			c.giveUp(stop)
+		counts.add(d)
+		if stop := c.checkRetry(ctx, d, a, counts); stop != nil {
+			c.fail(stop)
 			return
 		}
 	}
 }
 
-// tally counts how the attempts of a request ended so far.
-type tally struct {
-	// sent may have run, refused certainly did not, and unreached were handed to
-	// no server.
+// attemptCounts counts the ended attempts of a request by disposition.
+type attemptCounts struct {
+	// sent counts attempts that may have run, refused those that certainly did not, and
+	// unreached those that reached no server.
 	sent, refused, unreached int
 }
 
-func (t *tally) add(v verdict) {
-	switch v {
+func (t *attemptCounts) add(d disposition) {
+	switch d {
 	case notReached:
 		t.unreached++
 	case notRun:
@@ -90,8 +90,8 @@
 
 func (c *call) query(tried map[placement.Incarnation]bool) placement.Query {
 	affinity := c.affinity
-	if apart := c.known().Affinity(); apart != 0 {
-		affinity = apart
+	if isolated := c.poisonStatus().Affinity(); isolated != 0 {
+		affinity = isolated
 	}
 	return placement.Query{
 		Service:  c.service.Name,
@@ -100,40 +100,41 @@
 		Prompt:   c.TokensIn,
 		Tried:    tried,
 		Domain:   c.g.Domain,
-		InDomain: c.mayRunIn(),
+		InDomain: c.allowedDomains(),
 		Rank:     c.rank(),
 	}
 }
 
-// ranksOfRoute is the number of route priorities that are told apart; an account's priority
-// goes before them.
-const ranksOfRoute = 100
+// routePriorityLevels is the number of distinct route priorities; an account's priority takes
+// precedence over them.
+const routePriorityLevels = 100
 
-// rank is the urgency of the request among all that need the same servers.
+// rank returns the urgency of the request among all requests that need the same servers.
 func (c *call) rank() int {
-	rank := min(max(c.route.Priority, 0), ranksOfRoute-1)
+	rank := min(max(c.route.Priority, 0), routePriorityLevels-1)
 	if c.account != nil {
-		rank += ranksOfRoute * max(c.account.Priority, 0)
+		rank += routePriorityLevels * max(c.account.Priority, 0)
 	}
 	return rank
 }
 
-// mayRunIn tells in which failure domains the request may run: in those whose region both
-// its route and its account name, where they name any. nil: in all.
-func (c *call) mayRunIn() func(domain string) bool {
-	var bound [][]string
+// allowedDomains returns a filter for the failure domains in which the request may run: those
+// whose region is listed by both the route and the account, where they list any. A nil filter
+// allows all.
+func (c *call) allowedDomains() func(domain string) bool {
+	var allowed [][]string
 	if len(c.route.Regions) > 0 {
-		bound = append(bound, c.route.Regions)
+		allowed = append(allowed, c.route.Regions)
 	}
 	if c.account != nil && len(c.account.Regions) > 0 {
-		bound = append(bound, c.account.Regions)
+		allowed = append(allowed, c.account.Regions)
 	}
-	if bound == nil {
+	if allowed == nil {
 		return nil
 	}
 	return func(domain string) bool {
 		region := c.g.Regions[domain]
-		for _, regions := range bound {
+		for _, regions := range allowed {
 			if region == "" || !slices.Contains(regions, region) {
 				return false
 			}
@@ -142,96 +143,97 @@
 	}
 }
 
-// mayGoOn returns nil if the request may be sent to another server, or else
-// how it ends.
-func (c *call) mayGoOn(ctx context.Context, v verdict, a *attempt, so tally) *result.Error {
+// checkRetry returns nil if the request may be sent to another server, and otherwise the error
+// that ends it.
+func (c *call) checkRetry(ctx context.Context, d disposition, a *attempt, counts attemptCounts) *result.Error {
 	cause := a.err
 	if err := ctx.Err(); err != nil {
-		return c.timeEnded(err)
+		return c.timeoutRefusal(err)
 	}
-	if c.overdue() {
-		return c.timeEnded(context.DeadlineExceeded)
+	if c.deadlinePassed() {
+		return c.timeoutRefusal(context.DeadlineExceeded)
 	}
-	switch v {
+	switch d {
 	case notReached:
-		if refusal := c.g.late(); refusal != nil {
+		if refusal := c.g.staleRefusal(); refusal != nil {
 			return refusal.Wrap(cause)
 		}
-		if so.unreached >= dialsAtMost {
-			return result.New(result.NoBackend, "no server of %s could be reached", c.service.Name).After(noServerRetry).Wrap(cause)
+		if counts.unreached >= maxUnreached {
+			return result.New(result.NoBackend, "no server of %s could be reached", c.service.Name).After(noServerRetryAfter).Wrap(cause)
 		}
-		return nil // no server was burdened
+		return nil // no server spent work on the request
 	case notRun:
-		if so.sent+so.refused >= c.route.Attempts+refusedElsewhere {
-			return result.New(result.NotAccepted, "the servers are full").After(busyRetry).Wrap(cause)
+		if counts.sent+counts.refused >= c.route.Attempts+extraAfterRefusal {
+			return result.New(result.NotAccepted, "the servers are full").After(busyRetryAfter).Wrap(cause)
 		}
 	case failed:
-		if !c.mayRepeat() || so.sent >= c.route.Attempts {
+		if !c.mayRepeat() || counts.sent >= c.route.Attempts {
 			return result.New(result.BackendCut, "the server did not answer whole").Wrap(cause)
 		}
-		if c.known().EndsServers(ctx) {
+		if c.poisonStatus().EndsServers(ctx) {
 			return result.New(result.BackendCut, "more than one server ended under the request").Wrap(cause)
 		}
 	}
-	if c.retryTaken {
-		c.retryTaken = false // with the tokens for the next attempt
+	if c.retryReserved {
+		c.retryReserved = false // the tokens for the next attempt are reserved with it
 		return nil
 	}
-	if v == failed {
+	if d == failed {
 		if refusal := c.reserveAgain(); refusal != nil {
 			return refusal.Wrap(cause)
 		}
 	}
 	if !c.g.Retries.Spend(c.service.Name) {
 		code := result.BackendCut
-		if v == notRun {
+		if d == notRun {
 			code = result.NotAccepted
 		}
-		return result.New(code, "the retry budget is spent").After(busyRetry).Wrap(cause)
+		return result.New(code, "the retry budget is spent").After(busyRetryAfter).Wrap(cause)
 	}
 	return nil
 }
 
-// timeEnded tells a caller that left from a time that is over.
-func (c *call) timeEnded(err error) *result.Error {
+// timeoutRefusal returns CallerGone if the caller disconnected, and otherwise the error for a
+// timeout.
+func (c *call) timeoutRefusal(err error) *result.Error {
 	if c.r.Context().Err() != nil {
 		return result.New(result.CallerGone, "the caller closed the connection").Wrap(err)
 	}
-	if c.ran {
+	if c.mayHaveRun {
 		return result.New(result.AttemptTimeout, "no answer in time").Wrap(err)
 	}
-	return result.New(result.NotAccepted, "no server took the request in time").After(busyRetry).Wrap(err)
+	return result.New(result.NotAccepted, "no server took the request in time").After(busyRetryAfter).Wrap(err)
 }
 
-// giveUp ends the request without an answer from a server.
-func (c *call) giveUp(end *result.Error) {
+// fail ends the request with an error; a response that has begun is aborted.
+func (c *call) fail(end *result.Error) {
 	if !c.reply.hasBegun() {
 		c.refuse(end)
 		return
 	}
 	c.outcome = end.Code
 	c.cause = end
-	c.reply.breakOff()
+	c.reply.abort()
 }
 
-// mayRepeat tells whether another server may be asked after this one: the request
-// may run again, and what the caller has of an answer can be gone on with.
+// mayRepeat reports whether another server may be tried: the request is repeatable, and the
+// part of the response that the caller has can be continued.
 func (c *call) mayRepeat() bool {
 	if !c.route.MayRepeat() {
 		return false
 	}
 	if c.route.Kind == catalog.Stream {
-		return !c.stream.stuck.Load()
+		return !c.stream.notResumable.Load()
 	}
 	return !c.reply.hasBegun()
 }
 
-// noteEnd keeps an attempt that has ended for the log and the counters.
-func (c *call) noteEnd(a *attempt) {
-	a.note.verdict = a.verdictName()
-	a.note.after = clock.Since(c.arrived)
-	c.attempts = append(c.attempts, a.note)
-	a.promptRead()
-	c.g.Servers.Ended(a.server.Incarnation(), a.judged)
-	c.g.Metrics.attempt(c.service.Name, a.name)
+// recordAttempt records an ended attempt in the log entry, placement and metrics.
+func (c *call) recordAttempt(a *attempt) {
+	a.record.outcome = a.outcomeText()
+	a.record.after = clock.Since(c.arrived)
+	c.attempts = append(c.attempts, a.record)
+	a.recordPromptRead()
+	c.g.Servers.Ended(a.server.Incarnation(), a.serverOutcome)
+	c.g.Metrics.attempt(c.service.Name, a.outcomeLabel)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway is the router on a platform that holds configuration, server
-// registrations and budgets: it passes callers' HTTP requests to backend
-// servers as they are, and charges their tokens to prepaid budgets.
+// Package gateway is the router on a platform that holds configuration, server registrations
+// and budgets: it forwards callers' HTTP requests unchanged to backend servers and charges
+// their tokens to prepaid budgets.
 //
-// A Gateway is an http.Handler. A request goes through steps (see steps), and
-// then to backend servers in one or more attempts. It knows no header or field
+// A Gateway is an http.Handler. A request passes through admission steps (see step) and is
+// then sent to backend servers in one or more attempts. The package knows no header or field
 // name of the platform: those are behind exchange.Protocol.
 package gateway
 
@@ -27,24 +27,26 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// Config gives the configuration in force.
+// Config provides the configuration in force.
 type Config interface {
-	// Catalog returns the configuration, or nil before the first is known.
+	// Catalog returns the configuration, or nil before the first one is received.
 	Catalog() *catalog.Catalog
-	// Age is how long ago the configuration was the newest for certain, counted from the
-	// store's answer; below 0: nothing was heard.
+	// Age returns the staleness of the configuration: the time since it was last known to be
+	// the newest, measured from the store's response. It is below 0 if nothing has been
+	// received.
 	Age() time.Duration
 }
 
-// Parts are what a gateway works with.
+// Parts are the dependencies of a gateway.
 type Parts struct {
 	// Domain is the router's failure domain.
 	Domain string
-	// Regions names the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string
 	Config  Config
-	// ConfigBound is the operator's bound on a new configuration. A router whose
-	// configuration may be older does not claim that a route or key is unknown; 0: it does.
+	// ConfigBound is the operator's bound on the propagation of a new configuration. A router
+	// whose configuration may be older does not report a route or key as unknown; with 0 it
+	// always does.
 	ConfigBound time.Duration
 	Servers     *registry.Controller
 	Budgets     *budgets.Controller
@@ -52,58 +54,58 @@
 	Pool        *upstream.Pool
 	Retries     *retry.Budgets
 	Verdicts    *verdicts.Controller
-	// Limits learns the rate limits that servers name; nil: none is enforced.
+	// Limits observes the rate limits that servers announce; nil: none is enforced.
 	Limits  Limits
 	Logs    logs.Loggers
 	Metrics *Metrics
 	// Routers returns the number of routers that share the servers.
 	Routers func() int
-	// LinkWait is how long requests and answers wait at the router's own link, in both
-	// directions together, and Stale tells whether, by that and the age of what the router
-	// knows, a request could reach a server too long after that has left. nil: neither is
-	// known.
+	// LinkWait returns how long requests and responses queue at the router's own network link,
+	// both directions together. Stale reports whether, given that and the staleness of the
+	// router's data, a request could reach a server too long after that server left. nil:
+	// neither is known.
 	LinkWait func() time.Duration
 	Stale    func() bool
-	// ServersAge is how old what is known of the servers is, counted from the store's
-	// answer; below 0: nothing was heard. nil: it is not known.
+	// ServersAge returns the staleness of the server registrations, measured from the store's
+	// response; below 0: nothing has been received. nil: unknown.
 	ServersAge func() time.Duration
-	// Away tells whether callers should go to other routers for a while, and Full
-	// whether the router's own network link is full, so that silence says nothing
-	// about a server.
+	// Away reports whether callers should use other routers for a while. Full reports whether
+	// the router's own network link is full, in which case a timeout says nothing about a
+	// server.
 	Away, Full func() bool
 }
 
-// Gateway serves callers.
+// Gateway is the HTTP handler that serves callers.
 type Gateway struct {
 	Parts
 	steps    []step
 	inFlight atomic.Int64
-	running  running
+	running  runningCalls
 	leaving  atomic.Bool
 	refusing atomic.Bool
-	// unreadable bounds the log lines about limits that cannot be read.
-	unreadable logs.Sparse
+	// unreadableLimits rate-limits the log lines about limits that cannot be parsed.
+	unreadableLimits logs.Sparse
 }
 
-// New returns a gateway.
+// New returns a gateway with the given parts.
 func New(p Parts) *Gateway {
 	g := &Gateway{Parts: p}
-	g.steps = []step{g.admit, g.findRoute, g.authenticate, g.readBody, g.holdBack, g.readPrompt, g.reserve}
+	g.steps = []step{g.admit, g.findRoute, g.authenticate, g.readBody, g.checkPoison, g.readPrompt, g.reserve}
 	return g
 }
 
-// Leave starts a planned stop: answers ask callers to close their connections.
+// Leave starts a planned stop: responses ask callers to close their connections.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
 
-// Refuse ends the taking of new requests.
+// Refuse makes the gateway refuse new requests.
 func (g *Gateway) Refuse() { g.refusing.Store(true) }
 
 // InFlight returns the number of requests being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// step checks one thing of a request and adds what it finds to the call; an
-// error refuses the request, which has not run. Every request goes through all
-// steps before it is sent to a server.
+// step validates one aspect of a request and adds its findings to the call. An error refuses
+// the request, which has not run. Every request passes all steps before it is sent to a
+// server.
 type step func(*call) *result.Error
 
 // ServeHTTP implements http.Handler.
@@ -112,14 +114,14 @@
 	defer g.inFlight.Add(-1)
 	c := g.newCall(w, r)
 	defer c.close()
-	if g.leaving.Load() || g.Away() || g.late() != nil {
+	if g.leaving.Load() || g.Away() || g.staleRefusal() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	c.serve()
 	c.reply.close()
 }
 
-// serve takes the request through all steps and to the servers.
+// serve runs all steps and dispatches the request.
 func (c *call) serve() {
 	for _, s := range c.g.steps {
 		if refusal := s(c); refusal != nil {
@@ -130,7 +132,7 @@
 	c.dispatch()
 }
 
-// call is one request on its way.
+// call is one request in progress.
 type call struct {
 	g       *Gateway
 	r       *http.Request
@@ -144,26 +146,26 @@
 	account  *catalog.Account
 	body     []byte
 	affinity uint64
-	// suspicion is what known returns; nil: it was not asked for.
-	suspicion *verdicts.Request
-	// newTokens are the prompt tokens that the request shares with no other.
+	// cachedPoisonStatus is the result of poisonStatus; nil before its first call.
+	cachedPoisonStatus *verdicts.Request
+	// newTokens are the prompt tokens that are not part of a shared prefix.
 	newTokens int64
 	deadline  time.Time
 
-	// retryTaken tells that the retry and the tokens for the next attempt are taken
-	// already.
-	retryTaken bool
+	// retryReserved reports that the retry and the tokens for the next attempt are already
+	// reserved.
+	retryReserved bool
 
 	reserved int64
-	// unseen is how many attempts a server may have run to an end that this router
-	// did not see.
-	unseen   int
-	attempts []attemptNote
-	stream   streamState
-	// ran tells that a server may have run the request.
-	ran     bool
-	outcome result.Code
-	cause   error
+	// unobserved counts the attempts that a server may have completed without this router
+	// seeing the end.
+	unobserved int
+	attempts   []attemptRecord
+	stream     streamState
+	// mayHaveRun reports that a server may have run the request.
+	mayHaveRun bool
+	outcome    result.Code
+	cause      error
 }
 
 func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request) *call {
@@ -173,13 +175,13 @@
 		reply:   reply{w: w, r: r},
 		arrived: clock.Now(),
 		Request: g.Protocol.Request(r.Header),
-		outcome: result.Internal, // until something else is known
+		outcome: result.Internal, // replaced by the actual outcome
 	}
-	c.stream.at = eventstream.After(c.LastEvent)
+	c.stream.position = eventstream.After(c.LastEvent)
 	return c
 }
 
-// close settles the budget and writes the request's line.
+// close settles the budget, updates the metrics and logs the request.
 func (c *call) close() {
 	if c.reserved > 0 {
 		c.g.Budgets.Settle(c.account.Name, c.reserved, c.spent())
@@ -188,23 +190,22 @@
 	c.log()
 }
 
-// spent returns the tokens to be charged: none if no server ran the request, else
-// the prompt once and what was generated. An attempt whose end was not seen is
-// charged at its most, since its server may have generated all of it.
+// spent returns the tokens to charge: none if no server ran the request, otherwise the prompt
+// once plus the generated tokens. An attempt whose end was not observed is charged the
+// maximum, since its server may have generated all of it.
 func (c *call) spent() int64 {
-	if !c.ran {
+	if !c.mayHaveRun {
 		return 0
 	}
 	generated := c.stream.tokens
-	if c.unseen > 0 && c.outcome != result.OK {
-		generated = 0 // it belongs to the attempts that are charged at their most
+	if c.unobserved > 0 && c.outcome != result.OK {
+		generated = 0 // included in the attempts that are charged the maximum
 	}
-	generated += int64(c.unseen) * c.MaxTokensOut
+	generated += int64(c.unobserved) * c.MaxTokensOut
 	return min(c.TokensIn+generated, c.reserved)
 }
 
-// log writes the line of an ended request: a part of those that were served,
-// all others.
+// log writes the log line of an ended request: a sample of the successful ones and all others.
 func (c *call) log() {
 	logger := c.g.Logs.Sampled
 	if c.outcome != result.OK {
@@ -221,7 +222,7 @@
 		zap.Int("status", c.reply.status),
 		zap.String("claim", c.reply.claim()),
 		zap.Duration("after_ms", clock.Since(c.arrived)),
-		zap.Array("attempts", attemptNotes(c.attempts)),
+		zap.Array("attempts", attemptRecords(c.attempts)),
 	}
 	if c.catalog != nil {
 		fields = append(fields, zap.Int64("config", c.catalog.Version), zap.Duration("config_age_ms", c.g.Config.Age()))
@@ -238,11 +239,11 @@
 	if c.outcome == result.BudgetExhausted || c.outcome == result.BudgetUnreachable {
 		fields = append(fields, c.budgetFields()...)
 	}
-	if !c.stream.first.IsZero() {
-		fields = append(fields, zap.Int64("tokens_in", c.TokensIn), zap.Duration("first_ms", c.stream.first.Sub(c.arrived)),
-			zap.Duration("pause_ms", c.stream.pause))
+	if !c.stream.firstAt.IsZero() {
+		fields = append(fields, zap.Int64("tokens_in", c.TokensIn), zap.Duration("first_ms", c.stream.firstAt.Sub(c.arrived)),
+			zap.Duration("pause_ms", c.stream.longestPause))
 	}
-	if f := c.known().Fingerprint(); f != nil {
+	if f := c.poisonStatus().Fingerprint(); f != nil {
 		fields = append(fields, zap.Stringer("fingerprint", f))
 	}
 	if c.cause != nil {
@@ -251,7 +252,7 @@
 	entry.Write(fields...)
 }
 
-// budgetFields are what the refusal of a reservation went by.
+// budgetFields returns the budget state behind a refused reservation as log fields.
 func (c *call) budgetFields() []zap.Field {
 	seen := c.g.Budgets.Seen(c.account.Name)
 	return []zap.Field{
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -39,20 +39,20 @@
 	headerLastEvent = "Last-Event"
 )
 
-// protocol implements exchange.Protocol.
-type protocol struct{}
+// testProtocol is the exchange.Protocol of these tests.
+type testProtocol struct{}
 
-func (protocol) Request(h http.Header) exchange.Request {
+func (testProtocol) Request(h http.Header) exchange.Request {
 	return exchange.Request{ID: h.Get(headerID), LastEvent: h.Get(headerLastEvent)}
 }
 
-func (protocol) Dispatch(h http.Header, d exchange.Dispatch) {
+func (testProtocol) Dispatch(h http.Header, d exchange.Dispatch) {
 	if d.LastEvent != "" {
 		h.Set(headerLastEvent, d.LastEvent)
 	}
 }
 
-func (protocol) Answer(_ int, h http.Header) exchange.Answer {
+func (testProtocol) Answer(_ int, h http.Header) exchange.Answer {
 	a := exchange.Answer{RequestID: h.Get(headerID), Signed: h.Get(headerSigned) != "", NotRun: h.Get(headerNotRun) != ""}
 	if text := h.Get(headerLimit); text != "" {
 		a.Limit.PerSecond, a.Limit.Err = strconv.ParseFloat(text, 64)
@@ -61,34 +61,34 @@
 	return a
 }
 
-func (protocol) Refusal(h http.Header, id string) { h.Set(headerID, id) }
+func (testProtocol) Refusal(h http.Header, id string) { h.Set(headerID, id) }
 
-// script answers one request on a server's connection: n counts the requests of
-// one gateway from 1, over all its servers. The connection is closed afterwards.
+// script answers one request on a server's connection. n counts the requests of one gateway
+// from 1, over all its servers. The connection is closed afterwards.
 type script func(c *net.TCPConn, r *http.Request, n int)
 
 // hastyObjective is the latency objective of the route /hasty/; the others have none.
 const hastyObjective = 50 * time.Millisecond
 
-// requestDeadline is the time that requests of these tests have.
+// requestDeadline is the timeout of the routes in these tests.
 const requestDeadline = time.Second
 
-// newGateway returns a gateway before so many servers that answer as the script
-// says. Its routes are /stream/, which may resume, /once-stream/, which may not,
-// /safe/, /hasty/ and /once/, each with attempts attempts.
+// newGateway returns a gateway with the given number of servers, which answer by the script.
+// Its routes are /stream/, which is resumable, /once-stream/, which is not, /safe/, /hasty/
+// and /once/, each with the given number of attempts.
 func newGateway(t *testing.T, servers, attempts int, answer script) *httptest.Server {
 	t.Helper()
 	web, _ := newLimitedGateway(t, servers, attempts, answer)
 	return web
 }
 
-// newLimitedGateway returns a gateway, and the limits of servers that it enforces.
+// newLimitedGateway returns a gateway and the server rate limits that it enforces.
 func newLimitedGateway(t *testing.T, servers, attempts int, answer script) (*httptest.Server, *limits.Controller) {
 	t.Helper()
 	return newGatewayWith(t, servers, attempts, answer, func(*gateway.Parts) {})
 }
 
-// newGatewayWith is newLimitedGateway with changed parts.
+// newGatewayWith is newLimitedGateway with modified parts.
 func newGatewayWith(t *testing.T, servers, attempts int, answer script, change func(*gateway.Parts)) (*httptest.Server, *limits.Controller) {
 	t.Helper()
 	pool := upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second})
@@ -96,9 +96,9 @@
 	enforced := withLimits(known)
 	known.Listed(startServers(t, servers, answer), 0)
 	parts := gateway.Parts{
-		Config:   config{newCatalog(t, attempts)},
+		Config:   fixedConfig{newCatalog(t, attempts)},
 		Servers:  known,
-		Protocol: protocol{},
+		Protocol: testProtocol{},
 		Pool:     pool,
 		Limits:   enforced,
 		Verdicts: verdicts.New(verdicts.Options{Checker: pool, Servers: known, Log: zap.NewNop()}),
@@ -124,11 +124,11 @@
 	return s, err
 }
 
-// config is a configuration that never changes.
-type config struct{ c *catalog.Catalog }
+// fixedConfig is a configuration that never changes.
+type fixedConfig struct{ c *catalog.Catalog }
 
-func (c config) Catalog() *catalog.Catalog { return c.c }
-func (c config) Age() time.Duration        { return 0 }
+func (c fixedConfig) Catalog() *catalog.Catalog { return c.c }
+func (c fixedConfig) Age() time.Duration        { return 0 }
 
 func newCatalog(t *testing.T, attempts int) *catalog.Catalog {
 	t.Helper()
@@ -199,7 +199,7 @@
 	}
 }
 
-// head is the head of an answer of a server; fields are further header lines.
+// head formats the head of a server's response; fields are further header lines.
 func head(r *http.Request, status int, fields ...string) string {
 	lines := []string{
 		fmt.Sprintf("HTTP/1.1 %d %s", status, http.StatusText(status)),
@@ -215,12 +215,12 @@
 	closeField   = "Connection: close"
 )
 
-// chunk is one chunk of a body, and lastChunk its end.
+// chunk formats one chunk of a body, and lastChunk ends the body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const lastChunk = "0\r\n\r\n"
 
-// events are the events first to last of a stream.
+// events formats the events first to last of a stream.
 func events(first, last int) string {
 	var b strings.Builder
 	for n := first; n <= last; n++ {
@@ -229,28 +229,28 @@
 	return b.String()
 }
 
-// send writes text to a connection; a peer that has left is no concern here.
+// send writes text to a connection and ignores errors of a peer that has disconnected.
 func send(c net.Conn, text ...string) { _, _ = io.WriteString(c, strings.Join(text, "")) }
 
-// reset closes a connection by a reset.
+// reset closes a connection with a reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// claim is what a caller can take an answer for.
+// claim is what a caller can take a response for.
 type claim string
 
 const (
-	complete claim = "complete" // the length was reached, or the last chunk came
-	unframed claim = "unframed" // the connection was closed, and nothing else could tell the end
-	broken   claim = "broken"   // cut: reset, or closed before the end that the framing announced
+	complete claim = "complete" // the full length or the last chunk was received
+	unframed claim = "unframed" // only the close of the connection marked the end
+	broken   claim = "broken"   // reset, or closed before the end announced by the framing
 )
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status int
-	// closes tells that the answer announces the end of the connection.
+	// closes reports that the response announces the close of the connection.
 	closes bool
 	header http.Header
 	body   string
--- a/gateway/identity.go
+++ b/gateway/identity.go
@@ -8,15 +8,16 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// known is what the fleet knows of the request: whether servers end under it.
-func (c *call) known() *verdicts.Request {
-	if c.suspicion == nil {
-		c.suspicion = c.g.Verdicts.Request(c.identity)
+// poisonStatus returns what the fleet knows of the request as a suspected poison request, one
+// under which servers crash.
+func (c *call) poisonStatus() *verdicts.Request {
+	if c.cachedPoisonStatus == nil {
+		c.cachedPoisonStatus = c.g.Verdicts.Request(c.identity)
 	}
-	return c.suspicion
+	return c.cachedPoisonStatus
 }
 
-// identity is by what the request is known again.
+// identity returns the properties by which repeats of the request are recognized.
 func (c *call) identity() poison.Identity {
 	id := poison.Identity{Method: c.r.Method, Host: strings.ToLower(c.r.Host), Target: c.r.RequestURI, Body: c.body}
 	if c.account != nil {
@@ -25,5 +26,5 @@
 	return id
 }
 
-// holdBack refuses a request that servers end under.
-func (g *Gateway) holdBack(c *call) *result.Error { return c.known().Refusal() }
+// checkPoison refuses a request that is known to crash servers.
+func (g *Gateway) checkPoison(c *call) *result.Error { return c.poisonStatus().Refusal() }
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -14,59 +14,59 @@
 	"github.com/gaplink/gaplink/controller/registry"
 )
 
-// headerLimit names a rate limit in the protocol of these tests.
+// headerLimit is the header for a rate limit in the protocol of these tests.
 const headerLimit = "Limit"
 
-// sole is a fleet of one router.
-type sole struct{ limits.Fleet }
+// singleRouterFleet is a fleet of one router.
+type singleRouterFleet struct{ limits.Fleet }
 
-func (sole) Owners(string) []string { return []string{"self"} }
+func (singleRouterFleet) Owners(string) []string { return []string{"self"} }
 
-// withLimits makes a registry enforce the limits that it is told of.
+// withLimits makes a registry enforce the limits that servers announce.
 func withLimits(known *registry.Controller) *limits.Controller {
 	l := limits.New(limits.Options{
-		Self: "self", Fleet: sole{}, Settled: func() bool { return true }, Runs: known.TakesWork, Log: zap.NewNop(),
+		Self: "self", Fleet: singleRouterFleet{}, Settled: func() bool { return true }, Runs: known.TakesWork, Log: zap.NewNop(),
 	})
 	known.SetLimits(l)
 	return l
 }
 
-// named is an answer's field that names a limit.
-func named(perSecond string) string { return headerLimit + ": " + perSecond }
+// limitField formats a response header that announces a limit.
+func limitField(perSecond string) string { return headerLimit + ": " + perSecond }
 
-// Guards against limits that are taken from answers which say nothing of the server, or not
-// taken from answers which do.
+// Guards against limits taken from responses that say nothing about the server, and against
+// limits ignored in responses that do.
 func TestWhichAnswersNameALimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer script
 		limits bool
 	}{
 		"a whole answer": {func(c *net.TCPConn, r *http.Request, _ int) {
-			send(c, head(r, 200, "Content-Length: 2", named("1")), "ok")
+			send(c, head(r, 200, "Content-Length: 2", limitField("1")), "ok")
 		}, true},
 		"an error": {func(c *net.TCPConn, r *http.Request, _ int) {
-			send(c, head(r, 500, "Content-Length: 0", named("1")))
+			send(c, head(r, 500, "Content-Length: 0", limitField("1")))
 		}, true},
 		"a refusal": {func(c *net.TCPConn, r *http.Request, n int) {
 			if n == 1 {
-				send(c, head(r, 503, "Content-Length: 0", headerNotRun+": 1", named("1")))
+				send(c, head(r, 503, "Content-Length: 0", headerNotRun+": 1", limitField("1")))
 				return
 			}
-			send(c, head(r, 200, "Content-Length: 2", named("1")), "ok")
+			send(c, head(r, 200, "Content-Length: 2", limitField("1")), "ok")
 		}, true},
 		"an answer that breaks off": {func(c *net.TCPConn, r *http.Request, _ int) {
-			send(c, head(r, 200, "Content-Length: 9", named("1")), "ok")
+			send(c, head(r, 200, "Content-Length: 9", limitField("1")), "ok")
 		}, true},
 		"an answer of another request": {func(c *net.TCPConn, r *http.Request, _ int) {
 			own := head(r, 200, "Content-Length: 2")
 			r.Header.Set(headerID, "another")
-			send(c, head(r, 200, "Content-Length: 2", named("1")), "no", own, "ok")
+			send(c, head(r, 200, "Content-Length: 2", limitField("1")), "no", own, "ok")
 		}, false},
 		"an unsigned answer": {func(c *net.TCPConn, r *http.Request, _ int) {
-			send(c, "HTTP/1.1 200 OK\r\n"+headerID+": "+r.Header.Get(headerID)+"\r\n"+named("1")+"\r\nContent-Length: 2\r\n\r\nok")
+			send(c, "HTTP/1.1 200 OK\r\n"+headerID+": "+r.Header.Get(headerID)+"\r\n"+limitField("1")+"\r\nContent-Length: 2\r\n\r\nok")
 		}, false},
 		"a limit that is no number": {func(c *net.TCPConn, r *http.Request, _ int) {
-			send(c, head(r, 200, "Content-Length: 2", named("soon")), "ok")
+			send(c, head(r, 200, "Content-Length: 2", limitField("soon")), "ok")
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,12 +79,12 @@
 	}
 }
 
-// Guards against a caller that waits until its deadline, or is told nothing, where all
-// servers that could run its request take no more now.
+// Guards against a caller that waits until its deadline, or gets no Retry-After, when all
+// servers for its request are at their rate limit.
 func TestCallerIsRefusedAtOnceWhenAllServersAreLimited(t *testing.T) {
 	web, _ := newLimitedGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, _ int) {
-		send(c, head(r, 200, "Content-Length: 2", closeField, named("0.5")), "ok")
-		time.Sleep(time.Millisecond) // an answer that does not announce the close lets the next request use the connection
+		send(c, head(r, 200, "Content-Length: 2", closeField, limitField("0.5")), "ok")
+		time.Sleep(time.Millisecond) // a response that does not announce the close lets the next request use the connection
 	})
 	refused := 0
 	for range 6 {
@@ -102,13 +102,13 @@
 			t.Errorf("refused after %s", took)
 		}
 	}
-	// Each server has named no limit before its first answer and has one permit then.
+	// No server has announced a limit before its first response, and each has one permit then.
 	if refused < 2 {
 		t.Errorf("%d requests refused", refused)
 	}
 }
 
-// Guards against attempts beyond the first of a request that pass a limit.
+// Guards against retries that exceed a server's rate limit.
 func TestRetriesNeedAPermit(t *testing.T) {
 	var mu sync.Mutex
 	arrived := 0
@@ -116,14 +116,14 @@
 		mu.Lock()
 		arrived++
 		mu.Unlock()
-		send(c, head(r, 503, "Content-Length: 0", closeField, headerNotRun+": 1", named("0.2")))
+		send(c, head(r, 503, "Content-Length: 0", closeField, headerNotRun+": 1", limitField("0.2")))
 	})
 	for range 8 {
 		call(t, web, "HTTP/1.1", "GET", "/safe/x")
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if arrived > 2 { // the first, which told of the limit, and one by a permit
-		t.Errorf("%d requests reached a server that takes one in 5 s", arrived)
+	if arrived > 2 { // the first, whose response announced the limit, and one with a permit
+		t.Errorf("%d requests reached a server limited to one per 5 s", arrived)
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -22,7 +22,7 @@
 // latencyBuckets span the latency objectives, in seconds.
 var latencyBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3, 6, 15}
 
-// ageBuckets span the bounds on leaving servers, in seconds.
+// ageBuckets span the staleness bounds on servers that leave, in seconds.
 var ageBuckets = []float64{0.1, 0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 2.5, 3, 4, 8}
 
 // NewMetrics returns metrics registered with reg.
@@ -65,14 +65,13 @@
 	}
 }
 
-// serversAge counts the sending of a request by the age of what was known of the servers.
+// serversAge observes the staleness of the server registrations at the time a request is sent.
 func (m *Metrics) serversAge(age time.Duration) {
 	if age >= 0 {
 		m.ages.Observe(age.Seconds())
 	}
 }
 
-// attempt counts an attempt by its outcome.
 func (m *Metrics) attempt(service, outcome string) {
 	m.attempts.WithLabelValues(service, outcome).Inc()
 }
--- a/gateway/outcome_test.go
+++ b/gateway/outcome_test.go
@@ -13,8 +13,8 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// A request whose handler panics has no result. The log, the counters and the charge
-// must not take it for one that was answered whole, which is the code of value 0.
+// A request whose handler panics has no result. The log, the metrics and the charge must not
+// treat it as OK, which is the zero value of result.Code.
 func TestPanicIsNotLoggedAsOK(t *testing.T) {
 	core, seen := observer.New(zap.InfoLevel)
 	g := &Gateway{Parts: Parts{
--- a/gateway/home_test.go
+++ b/gateway/regions_test.go
@@ -6,8 +6,9 @@
 	"github.com/gaplink/gaplink/catalog"
 )
 
-// TestRequestsRunInTheirRegions: where a route or an account names regions, and where
-// both do only in those that both name; a domain whose region is not known is none.
+// TestRequestsRunInTheirRegions: a request runs in the regions that its route or its account
+// lists, and only in their intersection if both list some. A domain of unknown region is not
+// in any.
 func TestRequestsRunInTheirRegions(t *testing.T) {
 	g := &Gateway{Parts: Parts{Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}}
 	for name, c := range map[string]struct {
@@ -21,8 +22,8 @@
 		"apart":      {[]string{"a"}, []string{"b"}, map[string]bool{"a1": false, "b1": false}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			one := &call{g: g, route: &catalog.Route{Regions: c.route}, account: &catalog.Account{Regions: c.account}}
-			in := one.mayRunIn()
+			req := &call{g: g, route: &catalog.Route{Regions: c.route}, account: &catalog.Account{Regions: c.account}}
+			in := req.allowedDomains()
 			for domain, want := range c.want {
 				if got := in == nil || in(domain); got != want {
 					t.Errorf("in %s: %v, want %v", domain, got, want)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -17,92 +17,92 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// streamState is what the caller has of a stream.
+// streamState is the part of a stream that the caller has received.
 type streamState struct {
-	// at is the caller's position.
-	at eventstream.Position
-	// mediaType is that of the head that the caller got.
+	// position is the caller's position in the stream.
+	position eventstream.Position
+	// mediaType is that of the response head sent to the caller.
 	mediaType string
-	// stuck tells that no other server can go on from there. The watchdog reads it
-	// beside the relay.
-	stuck atomic.Bool
-	// tokens is the most that the events received can hold.
+	// notResumable reports that no other server can continue from the position. The watchdog
+	// reads it concurrently with the relay.
+	notResumable atomic.Bool
+	// tokens is the maximum number of tokens that the received events can contain.
 	tokens int64
-	// first and last are when the first and the last event were passed on, and
-	// pause is the longest time between two of them.
-	first, last time.Time
-	pause       time.Duration
+	// firstAt and lastAt are when the first and the last event were forwarded, and
+	// longestPause is the longest time between two of them.
+	firstAt, lastAt time.Time
+	longestPause    time.Duration
 }
 
-// progressed notes that events were passed on.
-func (s *streamState) progressed(now time.Time) {
-	if s.first.IsZero() {
-		s.first = now
+// recordProgress records that events were forwarded.
+func (s *streamState) recordProgress(now time.Time) {
+	if s.firstAt.IsZero() {
+		s.firstAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.last))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastAt))
 	}
-	s.last = now
+	s.lastAt = now
 }
 
-// copyHead sets the headers of a server's answer.
+// copyHead sets the headers of the reply from a server's response.
 func (c *call) copyHead(answer *upstream.Answer) {
 	h := c.reply.w.Header()
-	for name, values := range passed(answer.Header) {
+	for name, values := range endToEndHeaders(answer.Header) {
 		h[name] = values
 	}
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := answer.Header[name]; !ok {
-			h[name] = nil // net/http must not add what the server did not send
+			h[name] = nil // keeps net/http from adding a header that the server did not send
 		}
 	}
 }
 
-// relayPlain passes an answer on that is no stream. Up to a size it is read
-// whole first, so that one that breaks off never reaches the caller in part.
-func (a *attempt) relayPlain(ctx context.Context, answer *upstream.Answer, patience *watchdog) verdict {
-	body, err := io.ReadAll(io.LimitReader(answer, wholeAnswer))
-	proved := err == nil
+// relayPlain forwards a response that is not a stream. Up to maxBufferedAnswer bytes it is
+// read in full first, so that a truncated response never reaches the caller in part.
+func (a *attempt) relayPlain(ctx context.Context, answer *upstream.Answer, wd *watchdog) disposition {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
+	complete := err == nil
 	unframed := errors.Is(err, upstream.ErrUnframed)
 	switch {
-	case !proved && !unframed:
-		return a.broken(ctx, err)
-	case unframed && len(body) == 0 && a.mayRepeat() && !a.last:
-		return a.broken(ctx, err) // neither a byte nor a proof that there is none
+	case !complete && !unframed:
+		return a.endBroken(ctx, err)
+	case unframed && len(body) == 0 && a.mayRepeat() && !a.isLast:
+		return a.endBroken(ctx, err) // empty, and nothing shows that the body was meant to be empty
 	}
-	patience.stop() // from here on nothing can replace the answer
+	wd.stop() // the response can no longer be replaced by another
 	a.copyHead(answer)
-	if len(body) == wholeAnswer && proved {
+	if len(body) == maxBufferedAnswer && complete {
 		return a.relayLarge(ctx, answer, body)
 	}
 	length := int64(lengthUnknown)
-	if proved {
-		length = a.wholeLength(answer, body)
+	if complete {
+		length = a.contentLength(answer, body)
 	}
-	if !a.reply.begin(answer.StatusCode, length, proved) {
-		return a.end(failed, "second answer", placement.Neutral, errSecondAnswer)
+	if !a.reply.begin(answer.StatusCode, length, complete) {
+		return a.finish(failed, "second answer", placement.Neutral, errSecondAnswer)
 	}
 	if _, err := a.reply.Write(body); err != nil {
-		return a.callerLeft(err)
+		return a.endCallerGone(err)
 	}
-	if !a.reply.end(proved) {
-		return a.callerLeft(errNotSent)
+	if !a.reply.end(complete) {
+		return a.endCallerGone(errNotSent)
 	}
-	return a.servedPlain(answer.StatusCode, proved)
+	return a.endPlain(answer.StatusCode, complete)
 }
 
 var (
-	// errSecondAnswer marks an answer for a caller that has a part of another.
-	errSecondAnswer = errors.New("the caller has a part of another answer")
+	// errSecondAnswer marks a response for a caller that has part of another one.
+	errSecondAnswer = errors.New("another response to the caller has already begun")
 	// errNotSent marks a reply whose last bytes could not be sent.
-	errNotSent = errors.New("the end of the answer could not be sent")
+	errNotSent = errors.New("the end of the response could not be sent to the caller")
 )
 
-// wholeLength is the length that the caller is told of an answer that was read
-// whole.
-func (a *attempt) wholeLength(answer *upstream.Answer, body []byte) int64 {
+// contentLength returns the length announced to the caller for a response that was read in
+// full.
+func (a *attempt) contentLength(answer *upstream.Answer, body []byte) int64 {
 	switch {
 	case a.r.Method == http.MethodHead:
-		return answer.ContentLength // of the body that another method would get
+		return answer.ContentLength // the length of the body that a GET would return
 	case !mayHaveBody(answer.StatusCode):
 		return lengthUnknown
 	default:
@@ -110,98 +110,99 @@
 	}
 }
 
-// relayLarge passes an answer on as it arrives, after its beginning was read.
-func (a *attempt) relayLarge(ctx context.Context, answer *upstream.Answer, beginning []byte) verdict {
+// relayLarge forwards a large response as it arrives, after its first part was read into
+// prefix.
+func (a *attempt) relayLarge(ctx context.Context, answer *upstream.Answer, prefix []byte) disposition {
 	if !a.reply.begin(answer.StatusCode, answer.ContentLength, answer.Framed()) {
-		return a.end(failed, "second answer", placement.Neutral, errSecondAnswer)
+		return a.finish(failed, "second answer", placement.Neutral, errSecondAnswer)
 	}
-	buf := beginning
+	buf := prefix
 	var err error
 	for {
 		if _, writeErr := a.reply.Write(buf); writeErr != nil {
-			return a.callerLeft(writeErr)
+			return a.endCallerGone(writeErr)
 		}
 		if err != nil {
 			break
 		}
 		var n int
-		n, err = answer.Read(beginning)
-		buf = beginning[:n]
+		n, err = answer.Read(prefix)
+		buf = prefix[:n]
 	}
 	if err != io.EOF && !errors.Is(err, upstream.ErrUnframed) {
-		return a.broken(ctx, err)
+		return a.endBroken(ctx, err)
 	}
 	if !a.reply.end(err == io.EOF) {
-		return a.callerLeft(errNotSent)
+		return a.endCallerGone(errNotSent)
 	}
-	return a.servedPlain(answer.StatusCode, err == io.EOF)
+	return a.endPlain(answer.StatusCode, err == io.EOF)
 }
 
-// servedPlain ends an attempt whose answer is with the caller; proved tells that its
-// end was.
-func (a *attempt) servedPlain(status int, proved bool) verdict {
+// endPlain ends an attempt whose response was forwarded; complete reports whether its end was
+// verified.
+func (a *attempt) endPlain(status int, complete bool) disposition {
 	a.outcome = result.OK
 	if status >= http.StatusInternalServerError {
-		a.outcome = result.BackendError // which a server may give before it has begun with the request
-	} else if proved {
-		a.known().Ran(a.service.Name)
+		a.outcome = result.BackendError // a server may return this status before it starts the request
+	} else if complete {
+		a.poisonStatus().Ran(a.service.Name)
 	}
-	return a.end(served, "answered", judgedByStatus(status), nil)
+	return a.finish(served, "answered", outcomeForStatus(status), nil)
 }
 
-func (a *attempt) callerLeft(err error) verdict {
-	a.unseen++
+func (a *attempt) endCallerGone(err error) disposition {
+	a.unobserved++
 	a.outcome = result.CallerGone
 	a.cause = err
-	a.reply.breakOff()
-	return a.end(ended, "caller gone", placement.Neutral, err)
+	a.reply.abort()
+	return a.finish(ended, "caller gone", placement.Neutral, err)
 }
 
-// relayStream passes whole events on as they arrive. The head goes out with
-// the first of them.
-func (a *attempt) relayStream(ctx context.Context, answer *upstream.Answer, patience *watchdog) verdict {
-	splitter := eventstream.NewSplitter(&a.stream.at)
-	buf := make([]byte, readChunk)
+// relayStream forwards whole events as they arrive. The response head is sent with the first
+// of them.
+func (a *attempt) relayStream(ctx context.Context, answer *upstream.Answer, wd *watchdog) disposition {
+	splitter := eventstream.NewSplitter(&a.stream.position)
+	buf := make([]byte, readBufferSize)
 	for {
 		n, err := answer.Read(buf)
-		batch, disorder := splitter.Add(buf[:n])
-		a.stream.stuck.Store(!a.stream.at.Resumable())
-		a.countEvents(batch.Events + batch.Repeated)
+		batch, orderErr := splitter.Add(buf[:n])
+		a.stream.notResumable.Store(!a.stream.position.Resumable())
+		a.countTokens(batch.Events + batch.Repeated)
 		if batch.Events > 0 {
-			a.note.passed(batch)
-			a.promptRead()
-			patience.progressed()
+			a.record.addEvents(batch)
+			a.recordPromptRead()
+			wd.recordProgress()
 		}
 		if len(batch.Bytes) > 0 {
-			if writeErr := a.pass(answer, batch); writeErr != nil {
-				return a.callerLeft(writeErr)
+			if writeErr := a.writeEvents(answer, batch); writeErr != nil {
+				return a.endCallerGone(writeErr)
 			}
 		}
-		if disorder != nil {
-			a.unseen++
-			return a.end(failed, "out of order", placement.Failed, disorder)
+		if orderErr != nil {
+			a.unobserved++
+			return a.finish(failed, "out of order", placement.Failed, orderErr)
 		}
 		atEnd := err == io.EOF || errors.Is(err, upstream.ErrUnframed)
 		switch {
 		case atEnd:
-			return a.streamEnded(ctx, answer, splitter.End(), err == io.EOF)
+			return a.endStream(ctx, answer, splitter.End(), err == io.EOF)
 		case err == nil && splitter.TooLong():
-			a.unseen++
-			return a.end(failed, "broken", placement.Failed, eventstream.ErrUnfinished)
+			a.unobserved++
+			return a.finish(failed, "broken", placement.Failed, eventstream.ErrUnfinished)
 		case err != nil:
-			return a.broken(ctx, err)
+			return a.endBroken(ctx, err)
 		}
 	}
 }
 
-// readChunk is as much as a connection's buffer holds.
-const readChunk = 4 << 10
+// readBufferSize matches the buffer of a connection.
+const readBufferSize = 4 << 10
 
-// pass writes whole events to the caller.
-func (a *attempt) pass(answer *upstream.Answer, batch eventstream.Batch) error {
+// writeEvents writes whole events to the caller.
+func (a *attempt) writeEvents(answer *upstream.Answer, batch eventstream.Batch) error {
 	a.startStream(answer)
 	if batch.Events > 0 {
-		a.timeEvents(batch.Events)
+		a.recordEventTiming(batch.Events)
 	}
 	if _, err := a.reply.Write(batch.Bytes); err != nil {
 		return err
@@ -209,24 +210,24 @@
 	return a.reply.flush()
 }
 
-// timeEvents notes that so many events came now.
-func (a *attempt) timeEvents(events int) {
+// recordEventTiming records that this many events arrived now.
+func (a *attempt) recordEventTiming(events int) {
 	now := clock.Now()
-	if !a.eventAt.IsZero() {
-		a.g.Servers.Paced(a.server.Incarnation(), now.Sub(a.eventAt)/time.Duration(events))
+	if !a.lastEventAt.IsZero() {
+		a.g.Servers.Paced(a.server.Incarnation(), now.Sub(a.lastEventAt)/time.Duration(events))
 	}
-	a.eventAt = now
-	a.stream.progressed(now)
+	a.lastEventAt = now
+	a.stream.recordProgress(now)
 }
 
-// countEvents counts the most tokens that so many events can hold.
-func (a *attempt) countEvents(n int) {
+// countTokens adds the maximum number of tokens that this many events can contain.
+func (a *attempt) countTokens(events int) {
 	if a.service.Engine != nil {
-		a.stream.tokens += int64(n) * a.service.Engine.EventTokens
+		a.stream.tokens += int64(events) * a.service.Engine.EventTokens
 	}
 }
 
-// startStream sends the head of the stream's first server, once.
+// startStream sends the response head of the stream's first server, once.
 func (a *attempt) startStream(answer *upstream.Answer) {
 	if a.reply.hasBegun() {
 		return
@@ -236,37 +237,37 @@
 	a.reply.begin(answer.StatusCode, lengthUnknown, answer.Framed())
 }
 
-// mediaType returns the type of an answer's body without its parameters.
+// mediaType returns the media type of a response's body without its parameters.
 func mediaType(h http.Header) string {
 	name, _, _ := strings.Cut(h.Get("Content-Type"), ";")
 	return strings.ToLower(strings.TrimSpace(name))
 }
 
-// goesOn tells whether an answer may be the next run of the stream that the caller
-// has begun to get.
-func (c *call) goesOn(answer *upstream.Answer) bool {
+// continuesStream reports whether a response can continue the stream that the caller has
+// partly received.
+func (c *call) continuesStream(answer *upstream.Answer) bool {
 	return c.route.Kind == catalog.Stream && answer.StatusCode == http.StatusOK && mediaType(answer.Header) == c.stream.mediaType
 }
 
-// streamEnded ends the stream for the caller, if the server's end is proof enough
-// for what the caller's answer claims. One that went on at a server that sends no
-// framing, after one that did, has no proved end: it is as if broken off.
-func (a *attempt) streamEnded(ctx context.Context, answer *upstream.Answer, flaw error, proved bool) verdict {
-	if flaw != nil { // the end of a run that does not end what the caller has
-		return a.broken(ctx, flaw)
+// endStream ends the stream for the caller if the end of the server's response is verified as
+// far as the reply's framing claims. A stream that began at a server with framing and
+// continued at one without has no verified end and is treated as truncated.
+func (a *attempt) endStream(ctx context.Context, answer *upstream.Answer, joinErr error, complete bool) disposition {
+	if joinErr != nil { // the segment ended, but not where the caller's stream ends
+		return a.endBroken(ctx, joinErr)
 	}
-	if !proved && a.note.events == 0 { // neither an event nor a proof that there is none
-		return a.broken(ctx, upstream.ErrUnframed)
+	if !complete && a.record.events == 0 { // no event, and nothing shows that there was none
+		return a.endBroken(ctx, upstream.ErrUnframed)
 	}
 	a.startStream(answer)
-	if !a.reply.end(proved) {
-		return a.broken(ctx, upstream.ErrUnframed)
+	if !a.reply.end(complete) {
+		return a.endBroken(ctx, upstream.ErrUnframed)
 	}
-	if proved {
-		a.known().Ran(a.service.Name)
+	if complete {
+		a.poisonStatus().Ran(a.service.Name)
 	} else {
-		a.countEvents(1) // a server that died may have made one that it did not send
+		a.countTokens(1) // a server that crashed may have generated one event that it did not send
 	}
 	a.outcome = result.OK
-	return a.end(served, "answered", placement.Answered, nil)
+	return a.finish(served, "answered", placement.Answered, nil)
 }
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -7,37 +7,35 @@
 	"strconv"
 )
 
-// reply is the answer to the caller, which it alone begins and ends.
+// reply is the response to the caller; only this type begins and ends it.
 //
-// A reply is complete only by an explicit end, and end asks whether the end of the
-// server's answer was proved. Every other way out of the handler, foreseen or not,
-// breaks off a reply that has begun: a caller can repeat or resume what was cut, and
-// has no way to notice what was cut and looks whole.
+// A reply is complete only after an explicit call of end, which requires that the end of the
+// server's response was verified. Any other return from the handler, expected or not, aborts a
+// reply that has begun: a caller can repeat or resume a truncated response, but cannot detect
+// a truncated response that looks complete.
 type reply struct {
 	w     http.ResponseWriter
 	r     *http.Request
 	state replyState
-	// status is that of the head that was sent; 0: none was.
+	// status is the status of the response head that was sent; 0: none was.
 	status int
-	// unframed tells that the caller sees the end of the reply by the close of its
-	// connection alone.
+	// unframed reports that only the close of the connection marks the end of the reply.
 	unframed bool
 }
 
-// replyState is how far a reply has come.
+// replyState is the progress of a reply.
 type replyState int
 
 const (
-	// replyOpen: the end was not sent, nor perhaps the head.
+	// replyOpen: the end was not sent, and possibly not the head either.
 	replyOpen replyState = iota
-	// replyEnded: the reply claims no more than was proved.
+	// replyEnded: the reply was ended and claims no more than was verified.
 	replyEnded
-	// replyCut: the reply will be cut.
-	replyCut
+	// replyAborted: the connection will be aborted.
+	replyAborted
 )
 
-// claim is what the caller can take the reply for, as the log and the metrics call
-// it.
+// claim returns what the caller can take the reply for, as written to the log and the metrics.
 func (p *reply) claim() string {
 	switch {
 	case !p.hasBegun():
@@ -51,15 +49,15 @@
 	}
 }
 
-// hasBegun tells whether the caller has the head of an answer.
+// hasBegun reports whether a response head was sent to the caller.
 func (p *reply) hasBegun() bool { return p.status != 0 }
 
-// lengthUnknown is the length of a reply that is not known when it begins.
+// lengthUnknown is the length of a reply whose length is not known when it begins.
 const lengthUnknown = -1
 
-// begin sends the head. framed tells whether the server's answer is one whose end
-// can be proved; the caller gets a length or chunks only then. The headers must be
-// set. It does nothing and returns false if another answer has begun.
+// begin sends the response head; the headers must be set. framed reports whether the framing
+// of the server's response marks its end: only then is the caller sent a length or chunked
+// encoding. begin does nothing and returns false if another response has begun.
 func (p *reply) begin(status int, length int64, framed bool) bool {
 	if p.hasBegun() {
 		return false
@@ -70,18 +68,18 @@
 	case length >= 0:
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	case !framed:
-		h.Set("Transfer-Encoding", "identity") // net/http: neither a length nor chunks, and the connection closes
+		h.Set("Transfer-Encoding", "identity") // makes net/http send neither a length nor chunks and close the connection
 	}
 	hasBody := p.r.Method != http.MethodHead && mayHaveBody(status)
 	p.unframed = hasBody && length < 0 && (!framed || !p.r.ProtoAtLeast(1, 1))
 	if p.unframed {
-		p.closeByReset(true)
+		p.setResetOnClose(true)
 	}
 	p.w.WriteHeader(status)
 	return true
 }
 
-// mayHaveBody tells whether an answer with that status may have a body.
+// mayHaveBody reports whether a response with the status may have a body.
 func mayHaveBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
@@ -89,43 +87,42 @@
 // Write implements io.Writer for the body.
 func (p *reply) Write(b []byte) (int, error) { return p.w.Write(b) }
 
-// flush sends what was written.
+// flush sends the buffered bytes.
 func (p *reply) flush() error { return http.NewResponseController(p.w).Flush() }
 
-// end completes the reply and tells whether it may be: a reply with framing of its
-// own needs the proof that its last byte is the last of the server's answer. One
-// without claims nothing and ends as the server's did, once all of it has left this
-// process.
-func (p *reply) end(proved bool) bool {
-	if p.state != replyOpen || !proved && !p.unframed {
+// end completes the reply and reports whether it could. A reply with its own framing may only
+// be completed if the server's response was verified as complete. A reply without framing
+// claims nothing and ends like the server's response, once all of it has left this process.
+func (p *reply) end(complete bool) bool {
+	if p.state != replyOpen || !complete && !p.unframed {
 		return false
 	}
 	if p.unframed {
 		if p.flush() != nil {
 			return false
 		}
-		p.closeByReset(false)
+		p.setResetOnClose(false)
 	}
 	p.state = replyEnded
 	return true
 }
 
-// breakOff cuts the caller's connection when the handler returns, whether or not
-// anything was sent.
-func (p *reply) breakOff() { p.state = replyCut }
+// abort makes the connection to the caller close without a complete response when the handler
+// returns, whether or not anything was sent.
+func (p *reply) abort() { p.state = replyAborted }
 
-// close is the last act of a handler. It does not return if the reply was not ended:
-// the panic is net/http's way to close a connection without the end of an answer.
+// close must be the handler's last call. It panics with http.ErrAbortHandler unless the reply
+// was ended: net/http then closes the connection without completing the response.
 func (p *reply) close() {
 	if p.state != replyEnded {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// closeByReset makes the close of the caller's connection a reset, or an orderly
-// one again. Without framing an orderly close is an end to the caller, so from the
-// head to the proved end it is a reset, also if this process is killed meanwhile.
-func (p *reply) closeByReset(on bool) {
+// setResetOnClose makes the close of the caller's connection a reset (on) or an orderly close.
+// Without framing an orderly close marks the end of the response, so from the head to the
+// verified end it is a reset, also if this process is killed in between.
+func (p *reply) setResetOnClose(on bool) {
 	conn, ok := p.r.Context().Value(callerConn{}).(*net.TCPConn)
 	if !ok {
 		return // not served by a server with ConnContext
@@ -135,14 +132,14 @@
 	if on {
 		linger = discard
 	}
-	_ = conn.SetLinger(linger) // fails only on a connection that is closed already
+	_ = conn.SetLinger(linger) // fails only on a closed connection
 }
 
-// callerConn is the key of the caller's connection in a request's context.
+// callerConn is the context key of the caller's connection.
 type callerConn struct{}
 
-// ConnContext is for the http.Server that serves a Gateway: it lets the gateway
-// reset the connections of callers.
+// ConnContext is the ConnContext hook of the http.Server that serves a Gateway; with it the
+// gateway can reset callers' connections.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	for {
 		wrapper, ok := c.(interface{ NetConn() net.Conn })
--- a/gateway/reply_test.go
+++ b/gateway/reply_test.go
@@ -13,33 +13,33 @@
 	return &reply{w: httptest.NewRecorder(), r: r}
 }
 
-// cuts tells whether the handler's last act cuts the reply.
-func cuts(p *reply) (cut bool) {
+// aborts reports whether close aborts the reply.
+func aborts(p *reply) (cut bool) {
 	defer func() { cut = recover() == http.ErrAbortHandler }()
 	p.close()
 	return false
 }
 
-// A way out of the handler that nobody thought of ends nothing and marks nothing.
+// An unexpected return from the handler must neither complete the reply nor mark it complete.
 func TestReplyThatWasNotEndedIsCut(t *testing.T) {
 	p := newReply(http.MethodGet, "HTTP/1.1")
-	if !cuts(p) {
-		t.Error("a reply without a head was ended in order")
+	if !aborts(p) {
+		t.Error("a reply without a head was completed")
 	}
 	p.begin(200, lengthUnknown, true)
-	if !cuts(p) || p.claim() != "broken off" {
-		t.Errorf("a reply that was begun is %s", p.claim())
+	if !aborts(p) || p.claim() != "broken off" {
+		t.Errorf("claim of a reply that has begun: %s", p.claim())
 	}
-	if p.end(false) || !cuts(p) {
-		t.Error("a reply was ended without a proof")
+	if p.end(false) || !aborts(p) {
+		t.Error("a reply was ended although completeness was not verified")
 	}
-	p.breakOff()
-	if p.end(true) || !cuts(p) {
-		t.Error("a reply that was broken off was ended")
+	p.abort()
+	if p.end(true) || !aborts(p) {
+		t.Error("an aborted reply was ended")
 	}
 }
 
-// The caller has one answer at most: the end of another says nothing about it.
+// A caller gets at most one response; the end of another has no effect on it.
 func TestReplyBeginsOnce(t *testing.T) {
 	p := newReply(http.MethodGet, "HTTP/1.1")
 	if !p.begin(200, lengthUnknown, true) || p.begin(500, 5, true) || p.status != 200 {
@@ -70,7 +70,7 @@
 			t.Errorf("%s: %s before the head", k.name, p.claim())
 		}
 		p.begin(k.status, k.length, k.framed)
-		if !p.end(k.framed) || p.claim() != k.want || cuts(p) {
+		if !p.end(k.framed) || p.claim() != k.want || aborts(p) {
 			t.Errorf("%s: %s, want %s", k.name, p.claim(), k.want)
 		}
 	}
--- a/gateway/join_test.go
+++ b/gateway/resume_test.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// The runs of two servers make one stream only if the second goes on exactly after
-// the last event that the caller has. A run that cannot be shown to do so is not
-// passed on.
+// A resumed stream is valid only if the second server's events continue exactly after the last
+// event that the caller has. Events that cannot be shown to do so are not forwarded.
 func TestResumedRunsMustJoin(t *testing.T) {
 	cases := []struct {
 		name, first, second string
--- a/gateway/running.go
+++ b/gateway/running.go
@@ -7,15 +7,15 @@
 	"github.com/gaplink/gaplink/clock"
 )
 
-// running are the requests that are at servers, and how each is ended. The zero value is
-// ready.
-type running struct {
+// runningCalls holds the requests that are dispatched to servers and the function that cancels
+// each. The zero value is ready to use.
+type runningCalls struct {
 	mu    sync.Mutex
 	calls map[*call]context.CancelFunc
 }
 
-// add notes a request until the returned function is called.
-func (r *running) add(c *call, cancel context.CancelFunc) (remove func()) {
+// add registers a request until the returned function is called.
+func (r *runningCalls) add(c *call, cancel context.CancelFunc) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.calls == nil {
@@ -29,18 +29,19 @@
 	}
 }
 
-// Woke tells that the machine was suspended. It ends the requests whose time passed
-// meanwhile: the timers that would have done so stood still, and servers would go on
-// working for callers that have left.
+// Woke must be called after the machine was suspended. It cancels the requests whose deadline
+// passed meanwhile: their timers did not run during the suspension, and servers would keep
+// working for callers that have disconnected.
 func (g *Gateway) Woke() {
 	g.running.mu.Lock()
 	defer g.running.mu.Unlock()
 	for c, cancel := range g.running.calls {
-		if c.overdue() {
+		if c.deadlinePassed() {
 			cancel()
 		}
 	}
 }
 
-// overdue tells whether the request's time is over, also if the machine was suspended.
-func (c *call) overdue() bool { return clock.Until(c.deadline) <= 0 }
+// deadlinePassed reports whether the request's deadline has passed, counting time during which
+// the machine was suspended.
+func (c *call) deadlinePassed() bool { return clock.Until(c.deadline) <= 0 }
--- a/gateway/stale_test.go
+++ b/gateway/stale_test.go
@@ -10,9 +10,9 @@
 	"github.com/gaplink/gaplink/gateway"
 )
 
-// Guards against a router that sends requests by old knowledge, and against one that refuses
-// them and keeps its callers' connections: each came back to it after 50 ms, up to 250 times a
-// second, which kept it busy for seconds.
+// Guards against a router that sends requests by stale data, and against one that refuses them
+// but keeps its callers' connections: each caller returned to it after 50 ms, up to 250 times
+// a second, which kept the router busy for seconds.
 func TestStaleRouterSendsItsCallersElsewhere(t *testing.T) {
 	var stale atomic.Bool
 	var arrived atomic.Int64
@@ -31,16 +31,16 @@
 			t.Errorf("stale %v: status %d, closes the connection %v", c.stale, got.status, got.closes)
 		}
 		if code, after := got.header.Get("Gaplink-Code"), got.header.Get("Retry-After"); c.stale && (code != "3004" || after == "" || after == "0") {
-			t.Errorf("refused with code %s, to come back after %q s", code, after)
+			t.Errorf("refused with code %s, Retry-After %q s", code, after)
 		}
 	}
 	if arrived.Load() != 2 {
-		t.Errorf("%d requests arrived, of which two should", arrived.Load())
+		t.Errorf("%d requests arrived, want 2", arrived.Load())
 	}
 }
 
-// Guards against a router that refuses requests although it is up to date a moment later: a
-// process without processor time knows less than it should for tenths of a second at a time.
+// Guards against a router that refuses requests although it catches up a moment later: a
+// process short of CPU is stale for tenths of a second at a time.
 func TestRequestWaitsForARouterThatIsSoonUpToDate(t *testing.T) {
 	var until atomic.Int64
 	web, _ := newGatewayWith(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -17,71 +17,73 @@
 )
 
 const (
-	// startingRetry is when to come back to a router that knows no
-	// configuration yet; it usually does within this time.
-	startingRetry = 300 * time.Millisecond
-	// leavingRetry is when to come back after a router that stops refused: at
-	// once, since another one takes the connection.
-	leavingRetry = 10 * time.Millisecond
-	// defaultDeadline is used when neither caller nor route names one.
+	// startingRetryAfter is the Retry-After of a router without a configuration; it usually
+	// has one within this time.
+	startingRetryAfter = 300 * time.Millisecond
+	// leavingRetryAfter is the Retry-After of a stopping router: almost immediate, since
+	// another router accepts the connection.
+	leavingRetryAfter = 10 * time.Millisecond
+	// defaultDeadline applies when neither caller nor route sets one.
 	defaultDeadline = 30 * time.Second
-	// timeoutMargin is how much before the end of its time a request is given
-	// up, so that the answer is still sent in time.
+	// timeoutMargin is how long before its deadline a request is abandoned, so that the
+	// response is still sent in time.
 	timeoutMargin = 20 * time.Millisecond
-	// objectivePart is the share of the latency objective that a request may
+	// reserveWaitDivisor divides the latency objective to give the time that a request may
 	// wait for tokens.
-	objectivePart = 5
-	// behindPart is the part of a request's time that a wait at the link may take of it.
-	behindPart = 2
-	// elsewhereRetry is when to come back after a router that is behind: soon, since its
-	// connection is closed and the next one is handed to another router.
-	elsewhereRetry = 50 * time.Millisecond
-	// updateWait is how long a request may wait for a router that is behind: the time between two
-	// requests for updates. updatePoll is how often it looks.
-	updateWait = bound.AskEvery
-	updatePoll = 10 * time.Millisecond
-	// minimumWait is the least time that a request may wait for tokens: a read
-	// and a write at the store and some.
-	minimumWait = 40 * time.Millisecond
+	reserveWaitDivisor = 5
+	// linkDelayDivisor divides a request's time to give the most that queueing at the link may
+	// take of it.
+	linkDelayDivisor = 2
+	// staleRetryAfter is the Retry-After of a router whose data is stale: short, since its
+	// connection is closed and the next one goes to another router.
+	staleRetryAfter = 50 * time.Millisecond
+	// staleWait is how long a request may wait for a stale router to catch up: the interval
+	// between two requests for updates. stalePoll is the polling interval during that wait.
+	staleWait = bound.AskEvery
+	stalePoll = 10 * time.Millisecond
+	// minReserveWait is the minimum time that a request may wait for tokens: a read and a
+	// write at the store plus a margin.
+	minReserveWait = 40 * time.Millisecond
 )
 
-// admit refuses while the router cannot serve at all.
+// admit refuses requests while the router cannot serve any.
 func (g *Gateway) admit(c *call) *result.Error {
 	if g.refusing.Load() {
-		return result.New(result.Leaving, "the router is stopping").After(leavingRetry)
+		return result.New(result.Leaving, "the router is stopping").After(leavingRetryAfter)
 	}
 	c.catalog = g.Config.Catalog()
 	if c.catalog == nil || !g.Servers.Ready() {
-		return result.New(result.Starting, "the router has no configuration yet").After(startingRetry)
+		return result.New(result.Starting, "the router has no configuration yet").After(startingRetryAfter)
 	}
 	return c.waitUntilCurrent()
 }
 
-// waitUntilCurrent waits for a router that is behind to be up to date, and refuses if it is not
-// soon: a request that waits costs less than one that comes back.
+// waitUntilCurrent waits for a stale router to catch up and refuses the request if it does not
+// soon: waiting costs less than a retry by the caller.
 func (c *call) waitUntilCurrent() *result.Error {
-	refusal := c.g.late()
-	for begun := clock.Now(); refusal != nil && clock.Since(begun) < updateWait; refusal = c.g.late() {
-		if err := wait.For(c.r.Context(), updatePoll); err != nil {
-			return c.timeEnded(err)
+	refusal := c.g.staleRefusal()
+	for begun := clock.Now(); refusal != nil && clock.Since(begun) < staleWait; refusal = c.g.staleRefusal() {
+		if err := wait.For(c.r.Context(), stalePoll); err != nil {
+			return c.timeoutRefusal(err)
 		}
 	}
 	return refusal
 }
 
-// late refuses while a request could reach a server too long after that has left.
-func (g *Gateway) late() *result.Error {
+// staleRefusal returns an error while the router's data is so stale that a request could reach
+// a server too long after that server left.
+func (g *Gateway) staleRefusal() *result.Error {
 	if g.Stale == nil || !g.Stale() {
 		return nil
 	}
-	return result.New(result.NotAccepted, "the router is behind").After(elsewhereRetry)
+	return result.New(result.NotAccepted, "the router is behind").After(staleRetryAfter)
 }
 
 func (g *Gateway) findRoute(c *call) *result.Error {
 	path, _, _ := strings.Cut(c.r.RequestURI, "?")
 	c.route = c.catalog.Route(c.r.Host, path)
 	if c.route == nil {
-		return g.unknown(result.New(result.UnknownService, "no route for %s%s", c.r.Host, path))
+		return g.unknownRefusal(result.New(result.UnknownService, "no route for %s%s", c.r.Host, path))
 	}
 	limit := defaultDeadline
 	if c.Deadline > 0 {
@@ -90,25 +92,25 @@
 	if c.route.Timeout > 0 {
 		limit = min(limit, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(limit - timeoutMargin - g.behind(limit))
+	c.deadline = c.arrived.Add(limit - timeoutMargin - g.linkDelay(limit))
 	return nil
 }
 
-// behind is what of a request's time is gone on the router's own link: its caller counts
-// from before its bytes waited there, and the answer waits there again. At a full link
-// that is up to a second, and an answer at the end of the time would come late by it.
-func (g *Gateway) behind(limit time.Duration) time.Duration {
+// linkDelay returns the part of a request's time that is spent on the router's own link: the
+// caller's time starts before the request queues there, and the response queues there again.
+// On a full link that is up to a second, by which a response at the deadline would be late.
+func (g *Gateway) linkDelay(timeout time.Duration) time.Duration {
 	if g.LinkWait == nil {
 		return 0
 	}
-	return min(g.LinkWait(), limit/behindPart)
+	return min(g.LinkWait(), timeout/linkDelayDivisor)
 }
 
-// unknown refuses what the configuration does not hold. A router that may have
-// missed a change does not claim so.
-func (g *Gateway) unknown(refusal *result.Error) *result.Error {
+// unknownRefusal refuses a request for something that the configuration does not contain. A
+// router that may have missed a change does not report it as unknown.
+func (g *Gateway) unknownRefusal(refusal *result.Error) *result.Error {
 	if age := g.Config.Age(); g.ConfigBound > 0 && (age < 0 || age > g.ConfigBound) {
-		return result.New(result.Starting, "the configuration here may be out of date").After(startingRetry).Wrap(refusal)
+		return result.New(result.Starting, "the configuration here may be out of date").After(startingRetryAfter).Wrap(refusal)
 	}
 	return refusal
 }
@@ -118,7 +120,7 @@
 	if c.account != nil || c.route.Public {
 		return nil
 	}
-	return g.unknown(result.New(result.Unauthenticated, "the key is not known"))
+	return g.unknownRefusal(result.New(result.Unauthenticated, "the key is not known"))
 }
 
 func (g *Gateway) readBody(c *call) *result.Error {
@@ -132,7 +134,7 @@
 	}
 	var err error
 	switch length := c.r.ContentLength; {
-	case limit > 0 && length > limit: // before it takes any memory
+	case limit > 0 && length > limit: // checked before any memory is allocated
 		return bodyTooLarge(limit)
 	case limit > 0 && length > 0:
 		c.body = make([]byte, length)
@@ -155,8 +157,8 @@
 	return result.New(result.BodyTooLarge, "the body is over %d bytes", limit)
 }
 
-// readPrompt derives what decides the choice of an engine: the hash of the
-// parts that the prompt shares with others, and the size of what it does not.
+// readPrompt derives the inputs of server selection: the hash of the prompt parts shared with
+// other requests and the size of the rest.
 func (g *Gateway) readPrompt(c *call) *result.Error {
 	n := len(c.Prefix)
 	if n == 0 {
@@ -172,12 +174,12 @@
 	return nil
 }
 
-// reserve takes the most that the request can cost from its account's budget.
+// reserve reserves the maximum cost of the request from its account's budget.
 func (g *Gateway) reserve(c *call) *result.Error {
 	if c.account == nil || !c.account.Metered || c.Worst() == 0 {
 		return nil
 	}
-	wait := max(c.route.Objective/objectivePart, minimumWait)
+	wait := max(c.route.Objective/reserveWaitDivisor, minReserveWait)
 	ctx, cancel := context.WithTimeout(c.r.Context(), wait)
 	defer cancel()
 	if err := g.Budgets.Reserve(ctx, c.account.Name, c.Worst()); err != nil {
@@ -187,13 +189,13 @@
 	return nil
 }
 
-// reserveAgain takes what another attempt may generate, after one that may have
-// generated its most without this router seeing it.
+// reserveAgain reserves the tokens that another attempt may generate, after an attempt that
+// may have generated its maximum without this router observing it.
 func (c *call) reserveAgain() *result.Error {
-	if c.reserved == 0 || c.MaxTokensOut == 0 || c.unseen == 0 {
+	if c.reserved == 0 || c.MaxTokensOut == 0 || c.unobserved == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(c.r.Context(), minimumWait)
+	ctx, cancel := context.WithTimeout(c.r.Context(), minReserveWait)
 	defer cancel()
 	if err := c.g.Budgets.Reserve(ctx, c.account.Name, c.MaxTokensOut); err != nil {
 		return result.New(result.BackendCut, "the budget does not cover another attempt").Wrap(err)
@@ -202,12 +204,12 @@
 	return nil
 }
 
-// chooseService draws one of the route's services by weight.
+// chooseService picks one of the route's services at random by weight.
 func (c *call) chooseService() {
-	c.service = c.catalog.Services[c.drawShare(c.route.Split).Service]
+	c.service = c.catalog.Services[c.pickWeighted(c.route.Split).Service]
 }
 
-func (c *call) drawShare(split []catalog.Share) catalog.Share {
+func (c *call) pickWeighted(split []catalog.Share) catalog.Share {
 	total := 0
 	for _, s := range split {
 		total += max(s.Weight, 0)
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -11,9 +11,9 @@
 	"github.com/gaplink/gaplink/lab/clocktest"
 )
 
-// TestNoServerForACallerWhoseTimeIsOver: its deadline passed while the machine was
-// suspended, though by the steady clock hardly any time has.
-func TestNoServerForACallerWhoseTimeIsOver(t *testing.T) {
+// TestNoAttemptAfterTheDeadline: the deadline passed while the machine was suspended, although
+// the monotonic clock hardly advanced.
+func TestNoAttemptAfterTheDeadline(t *testing.T) {
 	machine := clocktest.New(t)
 	var sent atomic.Int64
 	web := newGateway(t, 3, 3, func(c *net.TCPConn, r *http.Request, n int) {
@@ -29,13 +29,13 @@
 		t.Errorf("status %d", got.status)
 	}
 	if n := sent.Load(); n != 1 {
-		t.Errorf("%d servers were asked", n)
+		t.Errorf("%d servers were tried", n)
 	}
 }
 
-// TestRequestsInFlightEndOnWaking if their time is over: the timers that would end them
-// stood still.
-func TestRequestsInFlightEndOnWaking(t *testing.T) {
+// TestExpiredRequestsEndOnResume: the timers of expired requests did not run during the
+// suspension.
+func TestExpiredRequestsEndOnResume(t *testing.T) {
 	machine := clocktest.New(t)
 	arrived := make(chan struct{}, 1)
 	web := newGateway(t, 1, 1, func(*net.TCPConn, *http.Request, int) {
@@ -54,8 +54,9 @@
 	}
 }
 
-// TestRequestsInFlightGoOnAfterAShortSuspension that leaves them time.
-func TestRequestsInFlightGoOnAfterAShortSuspension(t *testing.T) {
+// TestRequestsInFlightContinueAfterAShortSuspension: the suspension ends before their
+// deadline.
+func TestRequestsInFlightContinueAfterAShortSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	web := newGateway(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
 		machine.Suspend(requestDeadline / 4)
--- a/gateway/proof_test.go
+++ b/gateway/unframed_test.go
@@ -10,9 +10,9 @@
 	"github.com/gaplink/gaplink/gateway"
 )
 
-// The second server has neither sent an event nor proved that there is none, and the
-// first is known to have broken off. An orderly close would be the end of the stream
-// to the caller, whose answer has no framing.
+// The first server broke off, and the second neither sent an event nor showed that there was
+// none. The reply has no framing, so an orderly close would mark the end of the stream to the
+// caller.
 func TestEmptyUnframedRunDoesNotEndABrokenStream(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
@@ -26,9 +26,9 @@
 	}
 }
 
-// A comment is no event: a server that dies behind one has proved as little as one
-// that dies before it.
-func TestUnframedStreamOfCommentsIsAskedForElsewhere(t *testing.T) {
+// A comment is not an event: a server that crashes after a comment has shown no more than one
+// that crashes before it.
+func TestUnframedStreamOfCommentsIsRetried(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
 			send(c, head(r, 200, closeField), ": wait\n\n")
@@ -41,12 +41,11 @@
 	}
 }
 
-// A stop closes the connections of callers once no request is in the gateway, and a
-// kill closes them at any time. Without framing the close must be a reset until the
-// last byte has left the process, also what net/http still holds when the handler
-// returns.
+// A stop closes callers' connections once no request is in the gateway, and a kill closes them
+// at any time. Without framing the close must be a reset until the last byte has left the
+// process, including bytes that net/http still buffers when the handler returns.
 func TestUnframedAnswerIsNotEndedBeforeItsLastByteIsSent(t *testing.T) {
-	const size = 5000 // more than net/http's buffers hold, so that a part is out
+	const size = 5000 // larger than net/http's buffers, so that part of it is sent
 	inner := newGateway(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
 		send(c, head(r, 200, closeField), strings.Repeat("x", size))
 	})
@@ -64,8 +63,8 @@
 	}
 }
 
-// Ids rise within a run. An event without an id between two others does not change
-// what the caller has, so a number that goes back behind it is out of order.
+// Ids increase within a segment. An event without an id between two others does not change the
+// caller's position, so a smaller id after it is out of order.
 func TestNumbersDoNotGoBackBehindAnEventWithoutAnID(t *testing.T) {
 	const unnamed = "data: a\n\n"
 	cases := map[string][2]string{
@@ -88,8 +87,8 @@
 	}
 }
 
-// A run that only repeats what the caller has must come as far as the caller is,
-// also if it comes no further than the event with the number 0.
+// A segment that only repeats events the caller has must reach the caller's position, even
+// when its last event has the number 0.
 func TestRepeatedEventZeroDoesNotEndAStream(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
@@ -103,7 +102,7 @@
 	}
 }
 
-// Of two id fields in one event the last one names it.
+// Of several id fields in one event the last one applies.
 func TestLastIDFieldNamesTheEvent(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
@@ -118,8 +117,8 @@
 	post(t, web, "/stream/x")
 }
 
-// An answer that is no event stream is no part of one, also with the status 200: it
-// neither goes into the stream nor ends it.
+// A response that is not an event stream is not part of one, even with status 200: it is
+// neither appended to the stream nor ends it.
 func TestStreamIsNotEndedByAnAnswerThatIsNoStream(t *testing.T) {
 	web := newGateway(t, 2, 2, func(c *net.TCPConn, r *http.Request, n int) {
 		if n == 1 {
--- a/gateway/unseen_test.go
+++ b/gateway/unobserved_test.go
@@ -23,7 +23,7 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// unsigned is a protocol in which no answer is signed.
+// unsigned is a protocol in which no response is signed.
 type unsigned struct{}
 
 func (unsigned) Request(http.Header) exchange.Request        { return exchange.Request{} }
@@ -31,10 +31,10 @@
 func (unsigned) Answer(_ int, _ http.Header) exchange.Answer { return exchange.Answer{} }
 func (unsigned) Refusal(http.Header, string)                 {}
 
-// A server whose answer is given up for its lack of a signature has run the request
-// and may generate all of it. Neither the charge nor the reservation of the next
-// attempt may leave that out.
-func TestUnsignedAnswerIsAnAttemptWhoseEndWasNotSeen(t *testing.T) {
+// A server whose response is rejected for its missing signature has run the request and may
+// generate all of it. Both the charge and the reservation of the next attempt must include
+// that.
+func TestUnsignedAnswerCountsAsUnobserved(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("id: 1\ndata: a\n\n"))
 	}))
@@ -44,7 +44,7 @@
 			g: &Gateway{Parts: Parts{
 				Protocol: unsigned{},
 				Pool:     upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second}),
-				Servers:  knowing("s"),
+				Servers:  registryWith("s"),
 				Routers:  func() int { return 1 },
 			}},
 			r:        httptest.NewRequest(http.MethodPost, "/stream/x", nil),
@@ -53,24 +53,25 @@
 			deadline: time.Now().Add(time.Second),
 		},
 		server: placement.Server{ID: "s", Address: server.Listener.Addr().String()},
-		last:   true,
+		isLast: true,
 	}
-	if v := a.run(context.Background()); v != failed || a.name != "unsigned" {
-		t.Fatalf("verdict %d, %s", v, a.verdictName())
+	if v := a.run(context.Background()); v != failed || a.outcomeLabel != "unsigned" {
+		t.Fatalf("verdict %d, %s", v, a.outcomeText())
 	}
-	if a.unseen != 1 {
-		t.Errorf("%d attempts whose end was not seen", a.unseen)
+	if a.unobserved != 1 {
+		t.Errorf("%d unobserved attempts, want 1", a.unobserved)
 	}
 }
 
-// signed is a protocol in which every answer is signed and unnamed.
+// signed is a protocol in which every response is signed and has no request id.
 type signed struct{ unsigned }
 
 func (signed) Answer(_ int, _ http.Header) exchange.Answer { return exchange.Answer{Signed: true} }
 
-// What a server may have generated beyond what was seen is charged: at most if its run
-// went on unseen, and an event if it closed without a proof that this was all.
-func TestEndsThatWereNotSeenAreCharged(t *testing.T) {
+// Tokens that a server may have generated beyond the observed ones are charged: the maximum if
+// its response continued unobserved, and one event if it closed the connection without marking
+// the end.
+func TestUnobservedEndsAreCharged(t *testing.T) {
 	const event = "id: 1\ndata: a\n\n"
 	cases := []struct {
 		name, framing, body string
@@ -102,8 +103,8 @@
 			}()
 			a := streamAttempt(l.Addr().String())
 			a.run(context.Background())
-			if a.unseen != k.unseen || a.stream.tokens != k.tokens {
-				t.Errorf("%s: %d ends unseen, %d tokens", a.verdictName(), a.unseen, a.stream.tokens)
+			if a.unobserved != k.unseen || a.stream.tokens != k.tokens {
+				t.Errorf("%s: %d unobserved attempts, %d tokens", a.outcomeText(), a.unobserved, a.stream.tokens)
 			}
 		})
 	}
@@ -111,15 +112,15 @@
 
 func chunked(text string) string { return fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text) }
 
-// knowing returns a registry that knows the server with that id.
-func knowing(id string) *registry.Controller {
+// registryWith returns a registry that contains the server with the id.
+func registryWith(id string) *registry.Controller {
 	decode := func(string, []byte) (placement.Server, error) { return placement.Server{ID: id}, nil }
 	c := registry.New(decode, upstream.New(upstream.Options{}), nil, zap.NewNop())
 	c.Listed([]store.Object{{Key: "servers/" + id, Version: 1}}, 1)
 	return c
 }
 
-// streamAttempt is the last attempt at a stream of events of five tokens.
+// streamAttempt returns the last attempt of a stream whose events have five tokens.
 func streamAttempt(address string) *attempt {
 	r := httptest.NewRequest(http.MethodGet, "/stream/x", nil)
 	return &attempt{
@@ -127,8 +128,8 @@
 			g: &Gateway{Parts: Parts{
 				Protocol: signed{},
 				Pool:     upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second}),
-				Servers:  knowing("s"),
-				Verdicts: verdicts.New(verdicts.Options{Checker: upstream.New(upstream.Options{}), Servers: knowing("s"), Log: zap.NewNop()}),
+				Servers:  registryWith("s"),
+				Verdicts: verdicts.New(verdicts.Options{Checker: upstream.New(upstream.Options{}), Servers: registryWith("s"), Log: zap.NewNop()}),
 				Routers:  func() int { return 1 },
 			}},
 			r:        r,
@@ -138,6 +139,6 @@
 			deadline: time.Now().Add(time.Second),
 		},
 		server: placement.Server{ID: "s", Address: address},
-		last:   true,
+		isLast: true,
 	}
 }
