--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,6 +1,5 @@
-// Package exchange holds the types in which the gateway speaks of callers'
-// requests and backend servers' answers, and the interface behind which a
-// deployment's header names are hidden.
+// Package exchange defines the gateway's view of callers' requests and backend servers'
+// responses, and the interface that hides a deployment's header names.
 package exchange
 
 import (
@@ -8,38 +7,36 @@
 	"time"
 )
 
-// Part is one part of a prompt, as its caller names it.
+// Part is one part of a prompt, identified by its caller.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Request is what a caller's headers say.
+// Request holds the values of a caller's request headers.
 type Request struct {
 	// ID is unique to one try of a caller.
 	ID string
 	// Key is the API key; empty if there is none.
 	Key string
-	// LastEvent is the id of the last event that the caller has; empty for a
-	// stream from its start.
+	// LastEvent is the id of the last event that the caller has; empty for a stream from its
+	// start.
 	LastEvent string
 	// Deadline is how long the caller waits; 0 if it does not say.
 	Deadline time.Duration
-	// TokensIn is the size of the prompt, MaxTokensOut the most that may be
-	// generated. Both are 0 for a request without a prompt.
+	// TokensIn is the size of the prompt, and MaxTokensOut the maximum number of generated
+	// tokens. Both are 0 for a request without a prompt.
 	TokensIn, MaxTokensOut int64
-	// Prefix are the parts of the prompt in order; the last is the request's
-	// own.
+	// Prefix lists the parts of the prompt in order; the last one is specific to the request.
 	Prefix []Part
 }
 
-// Worst is the most tokens that the request can cost.
+// Worst returns the maximum number of tokens that the request can cost.
 func (r *Request) Worst() int64 { return r.TokensIn + r.MaxTokensOut }
 
-// Dispatch is what a request carries to a backend server beyond the caller's
-// own headers.
+// Dispatch holds what a request to a backend server carries beyond the caller's own headers.
 type Dispatch struct {
-	// Server is the id of the only server that may run it.
+	// Server is the id of the only server that may run the request.
 	Server string
 	// Account is the client account's name; empty on a public route.
 	Account string
@@ -47,45 +44,44 @@
 	Deadline time.Duration
 	// LastEvent is where a resumed stream goes on.
 	LastEvent string
-	// Ranked tells that Priority is to be sent.
+	// Ranked reports whether Priority is sent.
 	Ranked   bool
 	Priority int
 }
 
-// Answer is what the headers of a backend server's answer say.
+// Answer holds the values of a backend server's response headers.
 type Answer struct {
-	// RequestID names the request that the answer belongs to.
+	// RequestID is the id of the request that the response belongs to.
 	RequestID string
-	// NotRun tells that the server certainly did not run the request.
+	// NotRun reports that the server certainly did not run the request.
 	NotRun bool
-	// OtherServer tells that another server answers at the address.
+	// OtherServer reports that a different server answers at the address.
 	OtherServer bool
-	// Signed tells that the answer is one that the server made itself.
+	// Signed reports that the response was produced by the server itself.
 	Signed bool
-	// Limit is the rate limit that the answer names.
+	// Limit is the rate limit that the response announces.
 	Limit Limit
 }
 
 // Limit is the rate limit of a backend server, for the requests of all routers together.
 type Limit struct {
-	// Named tells that the answer names a limit, and PerSecond is the limit, in requests a
-	// second, 0 or more.
+	// Named reports that the response announces a limit, and PerSecond is that limit in
+	// requests per second, 0 or more.
 	Named     bool
 	PerSecond float64
-	// Err tells why a limit that the answer names could not be read; nil: it could, or the
-	// answer names none.
+	// Err is why an announced limit could not be parsed; nil if it could, or if none is
+	// announced.
 	Err error
 }
 
 // Protocol reads and writes the headers of one deployment.
 type Protocol interface {
-	// Request reads a caller's headers.
+	// Request parses a caller's headers.
 	Request(h http.Header) Request
-	// Dispatch changes a copy of the caller's headers into those for a
-	// backend server.
+	// Dispatch turns a copy of the caller's headers into those for a backend server.
 	Dispatch(h http.Header, d Dispatch)
-	// Answer reads a backend server's headers.
+	// Answer parses a backend server's response headers.
 	Answer(status int, h http.Header) Answer
-	// Refusal sets the headers of an answer of the router's own.
+	// Refusal sets the headers of a response that the router generates itself.
 	Refusal(h http.Header, id string)
 }
