--- a/framing/framing.go
+++ b/framing/framing.go
@@ -1,11 +1,11 @@
-// Package framing tells what proves the end of an HTTP/1.x answer.
+// Package framing determines whether the framing of an HTTP/1.x response marks its end.
 package framing
 
 import "net/http"
 
-// Proved tells whether the framing of an answer proves its end, once its body was
-// read to io.EOF: a length, chunks, or a kind of answer that has no body. Any other
-// answer ends with its connection, and may be whole or cut.
+// Proved reports whether a response whose body was read to io.EOF is known to be complete: it
+// has a length, is chunked, or is of a kind without a body. Any other response ends when its
+// connection closes and may be truncated.
 func Proved(resp *http.Response) bool {
 	return resp.Body == http.NoBody || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
