--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -1,7 +1,7 @@
-// Package eventstream cuts a text/event-stream into whole events.
+// Package eventstream splits a text/event-stream into whole events.
 //
-// Only the blank line after an event makes it whole: what a server sent of an
-// event before it stopped is never passed on.
+// An event is whole only with the blank line that ends it: an event that a server sent in part
+// before it stopped is never forwarded.
 package eventstream
 
 import (
@@ -9,70 +9,71 @@
 	"errors"
 )
 
-// maxEvent bounds one event; a server that sends more is not followed.
+// maxEvent bounds the size of one event in bytes; a stream with a larger one is aborted.
 const maxEvent = 1 << 20
 
-// Batch is a run of whole events.
+// Batch is a sequence of whole events.
 type Batch struct {
-	// Bytes are the events as they came, with their blank lines. They are
-	// valid until the next call of Add.
+	// Bytes holds the events as received, with their blank lines. It is valid until the next
+	// call of Add.
 	Bytes []byte
-	// Events is how many they are, without comments and settings of the stream.
+	// Events is the number of events, not counting comments and stream settings.
 	Events int
-	// Repeated is how many events were left out, since the caller has them.
+	// Repeated is the number of events that were dropped because the caller already has them.
 	Repeated int
-	// FirstID and LastID are the ids of the first and the last event that have one;
-	// empty if none has.
+	// FirstID and LastID are the ids of the first and the last event that have one; empty if
+	// none has.
 	FirstID, LastID string
 }
 
-// name notes the id of the batch's next event.
-func (b *Batch) name(id string) {
+// addID records the id of the batch's next event.
+func (b *Batch) addID(id string) {
 	if b.FirstID == "" {
 		b.FirstID = id
 	}
 	b.LastID = id
 }
 
-// Splitter collects the bytes of one run of events.
+// Splitter splits one segment of a stream, the events that one server sends, into whole
+// events.
 type Splitter struct {
 	buf []byte
-	// done is the start of the bytes that belong to no whole event yet.
-	done int
-	// at is where the caller is, and run what is known of this run.
-	at  *Position
-	run run
+	// consumed is the offset in buf of the bytes that are not yet part of a whole event.
+	consumed int
+	// position is the caller's position, and segment the state of this segment.
+	position *Position
+	segment  segment
 }
 
-// NewSplitter returns a splitter for a run that goes on from a position, which it
-// moves.
-func NewSplitter(at *Position) *Splitter {
-	return &Splitter{at: at, run: run{joined: !at.passed}}
+// NewSplitter returns a splitter for a segment that continues at a position. Add advances the
+// position.
+func NewSplitter(position *Position) *Splitter {
+	return &Splitter{position: position, segment: segment{continues: !position.forwarded}}
 }
 
-// Add takes bytes and returns the events that are whole with them. Those that the
-// caller has already are left out. The error is an ErrOrder; what was whole and in
-// order before it is in the batch, and nothing more may be added.
+// Add appends data and returns the events that it completes, without those that the caller
+// already has. The error wraps ErrOrder; the batch then holds the whole events before the
+// failure, and Add must not be called again.
 func (s *Splitter) Add(data []byte) (Batch, error) {
-	rest := copy(s.buf, s.buf[s.done:])
-	s.buf = append(s.buf[:rest], data...)
-	s.done = 0
+	n := copy(s.buf, s.buf[s.consumed:])
+	s.buf = append(s.buf[:n], data...)
+	s.consumed = 0
 	var b Batch
 	kept := 0
 	for {
-		end := boundary(s.buf[s.done:])
+		end := eventLength(s.buf[s.consumed:])
 		if end < 0 {
 			break
 		}
-		text := s.buf[s.done : s.done+end]
-		e := parse(text)
-		what, err := s.at.place(e, &s.run)
+		text := s.buf[s.consumed : s.consumed+end]
+		e := parseEvent(text)
+		action, err := s.position.accept(e, &s.segment)
 		if err != nil {
 			b.Bytes = s.buf[:kept]
 			return b, err
 		}
-		s.done += end
-		if what == drop {
+		s.consumed += end
+		if action == drop {
 			b.Repeated++
 			continue
 		}
@@ -80,73 +81,73 @@
 		if !e.isControl() {
 			b.Events++
 		}
-		if e.named {
-			b.name(e.id)
+		if e.hasID {
+			b.addID(e.id)
 		}
 	}
 	b.Bytes = s.buf[:kept]
 	return b, nil
 }
 
-// End is called when the run is over. It returns ErrUnfinished or an ErrOrder if the
-// caller does not have a whole stream then.
+// End must be called at the end of the segment. It returns ErrUnfinished or an error that
+// wraps ErrOrder if the caller does not have a complete stream at that point.
 func (s *Splitter) End() error {
-	if s.done < len(s.buf) {
+	if s.consumed < len(s.buf) {
 		return ErrUnfinished
 	}
-	return s.at.end(&s.run)
+	return s.position.end(&s.segment)
 }
 
-// ErrUnfinished marks a run that ended inside an event.
+// ErrUnfinished marks a segment that ended inside an event.
 var ErrUnfinished = errors.New("the stream ended inside an event")
 
-// TooLong tells that an event has passed all bounds.
-func (s *Splitter) TooLong() bool { return len(s.buf)-s.done > maxEvent }
+// TooLong reports whether the incomplete event exceeds maxEvent.
+func (s *Splitter) TooLong() bool { return len(s.buf)-s.consumed > maxEvent }
 
-// boundary returns the length of the first whole event with its blank line,
-// or -1.
-func boundary(data []byte) int {
-	for at := 0; ; {
-		i := bytes.IndexByte(data[at:], '\n')
+// eventLength returns the length of the first whole event including its blank line, or -1 if
+// there is none.
+func eventLength(data []byte) int {
+	for pos := 0; ; {
+		i := bytes.IndexByte(data[pos:], '\n')
 		if i < 0 {
 			return -1
 		}
-		at += i + 1
+		pos += i + 1
 		switch {
-		case at < len(data) && data[at] == '\n':
-			return at + 1
-		case at+1 < len(data) && data[at] == '\r' && data[at+1] == '\n':
-			return at + 2
+		case pos < len(data) && data[pos] == '\n':
+			return pos + 1
+		case pos+1 < len(data) && data[pos] == '\r' && data[pos+1] == '\n':
+			return pos + 2
 		}
 	}
 }
 
-// event is what is read of one event.
+// event holds the parsed fields of an event.
 type event struct {
 	id      string
-	named   bool
+	hasID   bool
 	hasData bool
 }
 
-// isControl tells a comment or a setting of the stream from an event.
-func (e *event) isControl() bool { return !e.hasData && !e.named }
+// isControl reports whether the event is only a comment or a stream setting.
+func (e *event) isControl() bool { return !e.hasData && !e.hasID }
 
-// The fields of an event that are read.
+// The event fields that are parsed.
 var (
 	idField   = []byte("id")
 	dataField = []byte("data")
 )
 
-// parse reads the fields of an event. A field is named up to the first colon.
-func parse(text []byte) event {
+// parseEvent parses the fields of an event. The field name ends at the first colon.
+func parseEvent(text []byte) event {
 	var e event
 	for len(text) > 0 {
 		line, rest, _ := bytes.Cut(text, []byte{'\n'})
 		text = rest
 		name, value, _ := bytes.Cut(bytes.TrimSuffix(line, []byte{'\r'}), []byte{':'})
 		switch {
-		case bytes.Equal(name, idField): // the last one counts
-			e.id, e.named = string(bytes.TrimSpace(value)), true
+		case bytes.Equal(name, idField): // the last id field applies
+			e.id, e.hasID = string(bytes.TrimSpace(value)), true
 		case bytes.Equal(name, dataField):
 			e.hasData = true
 		}
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -15,8 +15,8 @@
 	return fmt.Sprintf("id: %d%sdata: x%d%s%s", n, nl, n, nl, nl)
 }
 
-// TestWholeEventsOnly: however a stream is cut into pieces, what comes out are
-// its whole events, each once, in order.
+// TestWholeEventsOnly: however a stream is split into reads, the output is its whole events,
+// each once and in order.
 func TestWholeEventsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nl := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "line end")
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestResumedStreamDropsKnownEvents: events that the caller has already are not
-// passed on again.
+// TestResumedStreamDropsKnownEvents: events that the caller already has are not forwarded
+// again.
 func TestResumedStreamDropsKnownEvents(t *testing.T) {
 	at := eventstream.After("2")
 	s := eventstream.NewSplitter(&at)
@@ -69,14 +69,14 @@
 	}
 }
 
-// TestRunsJoinExactlyOrNotAtAll: whatever a second server sends, the caller gets the
-// events of one stream, each once and in order, or the runs are not joined.
-func TestRunsJoinExactlyOrNotAtAll(t *testing.T) {
+// TestSegmentsJoinExactlyOrNotAtAll: whatever a second server sends, the caller gets the
+// events of one stream, each once and in order, or the segments are not joined.
+func TestSegmentsJoinExactlyOrNotAtAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		step := rapid.IntRange(1, 3).Draw(t, "distance of ids")
 		passed := rapid.IntRange(2, 8).Draw(t, "events passed")
 		var at eventstream.Position
-		first, err := eventstream.NewSplitter(&at).Add([]byte(run(1, passed, step)))
+		first, err := eventstream.NewSplitter(&at).Add([]byte(segment(1, passed, step)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		from := rapid.IntRange(1, passed+3).Draw(t, "second run from")
 		to := rapid.IntRange(from, passed+6).Draw(t, "second run to")
 		second := eventstream.NewSplitter(&at)
-		b, err := second.Add([]byte(run(from, to, step)))
+		b, err := second.Add([]byte(segment(from, to, step)))
 		out += string(b.Bytes)
 		if err == nil {
 			err = second.End()
@@ -94,17 +94,17 @@
 		if joins {
 			want = to
 		}
-		if out != run(1, want, step) {
+		if out != segment(1, want, step) {
 			t.Fatalf("got %q", out)
 		}
 		if (err == nil) != joins || err != nil && !errors.Is(err, eventstream.ErrOrder) {
-			t.Fatalf("error %v for a run from %d to %d after %d", err, from, to, passed)
+			t.Fatalf("error %v for a segment from %d to %d after %d", err, from, to, passed)
 		}
 	})
 }
 
-// run returns the events first to last whose ids are step apart.
-func run(first, last, step int) string {
+// segment formats the events first to last with ids that are step apart.
+func segment(first, last, step int) string {
 	var b bytes.Buffer
 	for n := first; n <= last; n++ {
 		b.WriteString(event(n*step, "\n"))
@@ -112,9 +112,9 @@
 	return b.String()
 }
 
-// TestCommentsSayNothingOfThePosition: a server may send them at any time to keep a
+// TestCommentsDoNotChangeThePosition: a server may send comments at any time to keep a
 // connection open.
-func TestCommentsSayNothingOfThePosition(t *testing.T) {
+func TestCommentsDoNotChangeThePosition(t *testing.T) {
 	at := eventstream.After("2")
 	for _, data := range []string{": waiting\n\n" + event(3, "\n"), ": waiting\n\n" + event(4, "\n")} {
 		b, err := eventstream.NewSplitter(&at).Add([]byte(data))
--- a/eventstream/position.go
+++ b/eventstream/position.go
@@ -6,156 +6,156 @@
 	"strconv"
 )
 
-// ErrOrder marks a run of events that cannot be shown to go on where the caller is.
-var ErrOrder = errors.New("the events do not go on where the caller is")
+// ErrOrder marks events that cannot be shown to continue at the caller's position.
+var ErrOrder = errors.New("events do not continue at the caller's position")
 
-// Position is how far a caller has come in a stream, over all the runs that the
-// stream is made of. The zero value is the start of a stream.
+// Position is a caller's position in a stream, across all segments of which the stream
+// consists. The zero value is the start of a stream.
 //
-// The ids of events rise. That is what lets a run that begins after a break be
-// checked against what the caller has; where ids are missing or are no numbers it
-// cannot be, and such a stream cannot go on at another server.
+// Event ids increase, so a segment that begins after an interruption can be checked against
+// the events that the caller has. Where ids are missing or not numeric this is impossible, and
+// such a stream cannot be resumed at another server.
 type Position struct {
 	lastID string
-	// number is that of lastID, if comparable.
-	number     int64
-	comparable bool
-	// step is the distance between ids that follow each other, as long as it has
-	// always been the same; 0: not known.
-	step   int64
-	uneven bool
-	// unnamed tells that an event without an id came after the last one with one.
-	unnamed bool
-	// passed tells that the caller has got events in this answer.
-	passed bool
+	// number is the value of lastID, valid if numeric is set.
+	number  int64
+	numeric bool
+	// step is the distance between consecutive ids while it has always been the same; 0:
+	// unknown. unevenSteps reports that distances differed.
+	step        int64
+	unevenSteps bool
+	// lastHasNoID reports that an event without an id followed the last one with an id.
+	lastHasNoID bool
+	// forwarded reports that events were forwarded to the caller in this response.
+	forwarded bool
 }
 
-// After returns the position of a caller that names the last event it has; an empty
-// id is the start.
+// After returns the position of a caller that has received events up to lastID; an empty id is
+// the start of the stream.
 func After(lastID string) Position {
-	n, ok := number(lastID)
-	return Position{lastID: lastID, number: n, comparable: ok}
+	n, ok := parseNumber(lastID)
+	return Position{lastID: lastID, number: n, numeric: ok}
 }
 
 // LastID returns the id of the last event that has one; empty if none has.
 func (p *Position) LastID() string { return p.lastID }
 
-// Resumable tells whether another run can be joined: nothing was passed on yet, or
-// the last event can be compared with those of another run.
-func (p *Position) Resumable() bool { return !p.passed || p.comparable && !p.unnamed }
+// Resumable reports whether another segment can be joined: nothing was forwarded yet, or the
+// last event can be compared with those of another segment.
+func (p *Position) Resumable() bool { return !p.forwarded || p.numeric && !p.lastHasNoID }
 
-// number reads an id; ok is false for what is no whole number of 0 or more.
-func number(id string) (n int64, ok bool) {
+// parseNumber parses an id; ok is false unless the id is an integer of 0 or more.
+func parseNumber(id string) (n int64, ok bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil && n >= 0
 }
 
-// placement is what to do with an event of a run.
-type placement int
+// action is what to do with an event of a segment.
+type action int
 
 const (
-	pass placement = iota
+	forward action = iota
 	drop
 )
 
-// place tells what to do with a run's next event, and moves the position past it if
-// it is passed on. run is the run's own state.
-func (p *Position) place(e event, r *run) (placement, error) {
+// accept decides what to do with a segment's next event and advances the position if the event
+// is forwarded.
+func (p *Position) accept(e event, s *segment) (action, error) {
 	switch {
 	case e.isControl():
-		return pass, nil
-	case !e.named:
-		return p.placeUnnamed(r)
+		return forward, nil
+	case !e.hasID:
+		return p.acceptWithoutID(s)
 	}
-	n, ok := number(e.id)
-	if !ok || !p.comparable {
-		return p.placeOpaque(e.id, n, ok, r)
+	n, ok := parseNumber(e.id)
+	if !ok || !p.numeric {
+		return p.acceptOpaque(e.id, n, ok, s)
 	}
-	return p.placeNumbered(e.id, n, r)
+	return p.acceptNumbered(e.id, n, s)
 }
 
-// placeUnnamed places an event without an id. Whether the caller has it already
-// cannot be told at the beginning of a run that is to be joined.
-func (p *Position) placeUnnamed(r *run) (placement, error) {
-	if !r.joined {
+// acceptWithoutID handles an event without an id. At the start of a segment that is to be
+// joined it cannot be decided whether the caller already has it.
+func (p *Position) acceptWithoutID(s *segment) (action, error) {
+	if !s.continues {
 		return drop, fmt.Errorf("%w: an event without an id after %q", ErrOrder, p.lastID)
 	}
-	p.passed = true
-	p.unnamed = true
-	return pass, nil
+	p.forwarded = true
+	p.lastHasNoID = true
+	return forward, nil
 }
 
-// placeOpaque places an event where it or the last one has no number.
-func (p *Position) placeOpaque(id string, n int64, numbered bool, r *run) (placement, error) {
-	if !r.joined {
+// acceptOpaque handles an event when its id or the last one is not numeric.
+func (p *Position) acceptOpaque(id string, n int64, numbered bool, s *segment) (action, error) {
+	if !s.continues {
 		return drop, fmt.Errorf("%w: %q cannot be compared with %q", ErrOrder, id, p.lastID)
 	}
-	p.lastID, p.number, p.comparable, p.unnamed = id, n, numbered, false
-	p.step, p.uneven = 0, false
-	p.passed, r.passed = true, true
-	return pass, nil
+	p.lastID, p.number, p.numeric, p.lastHasNoID = id, n, numbered, false
+	p.step, p.unevenSteps = 0, false
+	p.forwarded, s.forwarded = true, true
+	return forward, nil
 }
 
-// placeNumbered places an event whose number can be compared with the last one's. A
-// run may begin with events that the caller has; they are left out.
-func (p *Position) placeNumbered(id string, n int64, r *run) (placement, error) {
+// acceptNumbered handles an event whose id can be compared with the last one. A segment may
+// begin with events that the caller has; they are dropped.
+func (p *Position) acceptNumbered(id string, n int64, s *segment) (action, error) {
 	step := n - p.number
 	switch {
-	case step <= 0 && !r.passed:
-		r.repeated = n
-		r.repeats = true
+	case step <= 0 && !s.forwarded:
+		s.lastRepeated = n
+		s.repeats = true
 		return drop, nil
 	case step <= 0:
 		return drop, fmt.Errorf("%w: %d after %d", ErrOrder, n, p.number)
-	case !r.joined && !p.meets(r) && !p.follows(step):
-		return drop, fmt.Errorf("%w: %d after %d, with a distance of %d", ErrOrder, n, p.number, p.step)
+	case !s.continues && !p.repeatsLast(s) && !p.isNext(step):
+		return drop, fmt.Errorf("%w: %d after %d, with an id step of %d", ErrOrder, n, p.number, p.step)
 	}
-	if p.passed {
-		p.learn(step) // what a caller has from before is no sign of a distance
+	if p.forwarded {
+		p.recordStep(step) // an id from an earlier response says nothing about the step
 	}
-	p.lastID, p.number, p.unnamed = id, n, false
-	p.passed, r.passed, r.joined = true, true, true
-	return pass, nil
+	p.lastID, p.number, p.lastHasNoID = id, n, false
+	p.forwarded, s.forwarded, s.continues = true, true, true
+	return forward, nil
 }
 
-// meets tells whether a run has repeated the last event that the caller has.
-func (p *Position) meets(r *run) bool { return r.repeats && r.repeated == p.number }
+// repeatsLast reports whether the segment has repeated the last event that the caller has.
+func (p *Position) repeatsLast(s *segment) bool { return s.repeats && s.lastRepeated == p.number }
 
-// follows tells whether an id so far behind the last one is the next: all distances
-// have been the same. After a single event none is known, and only the next whole
-// number is sure to follow.
-func (p *Position) follows(step int64) bool { return !p.uneven && step == max(p.step, 1) }
+// isNext reports whether an id at this distance from the last one is the next: all distances
+// so far were the same. After a single event no distance is known, and only the next integer
+// is certain to follow.
+func (p *Position) isNext(step int64) bool { return !p.unevenSteps && step == max(p.step, 1) }
 
-// learn notes the distance between two ids.
-func (p *Position) learn(step int64) {
+// recordStep records the distance between two consecutive ids.
+func (p *Position) recordStep(step int64) {
 	switch {
-	case p.uneven:
+	case p.unevenSteps:
 	case p.step == 0:
 		p.step = step
 	case p.step != step:
-		p.step, p.uneven = 0, true
+		p.step, p.unevenSteps = 0, true
 	}
 }
 
-// run is the state of one run of events.
-type run struct {
-	// joined tells that the run goes on where the caller is, or is the first.
-	joined bool
-	// passed tells that an event of the run with an id was passed on.
-	passed bool
-	// repeated is the number of the last event that the caller had already, if the run
-	// repeats any.
-	repeated int64
-	repeats  bool
+// segment is the state of one segment of a stream: the events that one server sends.
+type segment struct {
+	// continues reports that the segment has joined at the caller's position, or is the first.
+	continues bool
+	// forwarded reports that an event of the segment with an id was forwarded.
+	forwarded bool
+	// lastRepeated is the number of the last event that the caller already had; valid if
+	// repeats is set.
+	lastRepeated int64
+	repeats      bool
 }
 
-// end tells whether the run, which is over, is one with what the caller has. One
-// that brought nothing new and only repeated events must have come as far as the
-// caller is. One that was to be joined must have shown an event: without any it does
-// not show that the stream was over there, and its server may have failed as well.
-func (p *Position) end(r *run) error {
-	if r.passed || p.meets(r) || r.joined && !r.repeats {
+// end returns an error unless the ended segment completes the caller's stream. A segment that
+// only repeated events must have reached the caller's position. A segment that was to be
+// joined must have sent an event: without any it does not show that the stream was complete at
+// that position, and its server may have failed as well.
+func (p *Position) end(s *segment) error {
+	if s.forwarded || p.repeatsLast(s) || s.continues && !s.repeats {
 		return nil
 	}
-	return fmt.Errorf("%w: the run ended and did not show event %d", ErrOrder, p.number)
+	return fmt.Errorf("%w: the segment ended without including event %d", ErrOrder, p.number)
 }
