--- a/controller/updates/answer.go
+++ b/controller/updates/answer.go
@@ -14,30 +14,31 @@
 	return &peer.ConfigAnswer{Packed: packed}, err
 }
 
-// noteAnsweredElsewhere notes that the store answers another router, which waits for this one.
+// noteAnsweredElsewhere records that the store answers another router, which waits for updates
+// from this one.
 func (c *Controller) noteAnsweredElsewhere() {
 	if !c.UpdatesOthers() || c.Fresh() {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if clock.Since(c.answeredElsewhere) >= retryEvery {
+	if clock.Since(c.answeredElsewhere) >= storeRetryInterval {
 		c.answeredElsewhere = clock.Now()
 	}
 }
 
 // StoreAnswered returns when the store last answered a call of this process, or of another
-// router that waits for this one.
+// router that waits for updates from this one.
 func (c *Controller) StoreAnswered() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return later(c.Answered(), c.answeredElsewhere)
 }
 
-// unknownSeq is a sequence number that no log goes back to.
+// unknownSeq is a sequence number before the start of every log.
 const unknownSeq = -1
 
-// Answer answers another router's request for updates.
+// Answer answers another router's update request.
 func (c *Controller) Answer(_ context.Context, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error) {
 	if req.StoreAnswered {
 		c.noteAnsweredElsewhere()
@@ -49,9 +50,9 @@
 	}
 	answer.Verdicts, answer.VerdictSeq = c.Verdicts.Since(verdicts)
 	answer.Limits, answer.LimitSeq = c.Limits.Since(limits)
-	c.describe(answer)
+	c.setSourceState(answer)
 	answer.Routers = c.changesSince(peer.KindRouters, req.Routers)
-	answer.Ages = c.Ages() // before the changes, which may be newer
+	answer.Ages = c.Ages() // read before the changes, which may be newer
 	if !answer.Current {
 		return answer, nil
 	}
@@ -60,9 +61,9 @@
 	return answer, nil
 }
 
-// describe sets what this router knows of the store: from the store itself or, at a relay, from
-// the watchers.
-func (c *Controller) describe(answer *peer.UpdatesAnswer) {
+// setSourceState sets whether this router has current state from the store and where it
+// originates: the store itself or, for a relay, the watchers.
+func (c *Controller) setSourceState(answer *peer.UpdatesAnswer) {
 	answer.Lost = c.Lost()
 	answer.Current = c.Fresh() && c.Servers.Ready()
 	if answer.Lost || answer.Current {
--- a/controller/updates/ask.go
+++ b/controller/updates/ask.go
@@ -11,34 +11,34 @@
 	"github.com/gaplink/gaplink/wakeups"
 )
 
-// Run requests updates at intervals in a large fleet, and in a small one while the store does
-// not answer, until the context ends.
+// Run requests updates periodically until the context ends. In a small fleet it does so only
+// while the store does not answer.
 func (c *Controller) Run(ctx context.Context) {
-	go c.watchRole(ctx)
+	go c.checkRoles(ctx)
 	for ctx.Err() == nil {
 		wakeups.Note(wakeups.Updates)
 		if c.Lost() || c.Large() {
-			c.startAsking(ctx)
+			c.startRequest(ctx)
 		}
 		_ = wait.For(ctx, c.pause())
 	}
 }
 
-// startAsking sends a request for updates, and waits for its end or for slowAfter. A slow request
-// goes on while the next candidate is asked.
-func (c *Controller) startAsking(ctx context.Context) {
+// startRequest sends an update request and waits until it ends or hedgeDelay has passed. A slow
+// request continues while the next candidate is queried.
+func (c *Controller) startRequest(ctx context.Context) {
 	select {
-	case c.asking <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	default:
 		return
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		defer func() { <-c.asking }()
-		c.ask(ctx)
+		defer func() { <-c.inFlight }()
+		c.requestUpdates(ctx)
 	}()
-	slow := time.NewTimer(slowAfter)
+	slow := time.NewTimer(hedgeDelay)
 	defer slow.Stop()
 	select {
 	case <-ended:
@@ -48,8 +48,7 @@
 	}
 }
 
-// timeout returns the time that a call may take now which takes no longer than normal while the
-// link is not full.
+// timeout returns the current timeout of a call, which is normal while the link is not saturated.
 func (c *Controller) timeout(normal time.Duration) time.Duration {
 	if c.Timeout == nil {
 		return normal
@@ -61,63 +60,63 @@
 func (c *Controller) pause() time.Duration {
 	switch {
 	case !c.Large() && !c.Lost():
-		return askEvery
+		return requestInterval
 	case !c.Servers.Ready():
-		return c.pauseBeforeFirst()
-	case c.lacksChanges():
-		return askAtOnce
+		return c.startupPause()
+	case c.hasMoreChanges():
+		return moreChangesPause
 	case c.Large() && c.isBehind():
-		return askSoon
+		return catchUpInterval
 	case !c.UpToDate():
-		return askEvery // updates may come again at any moment
+		return requestInterval // updates may resume at any time
 	default:
 		return c.interval()
 	}
 }
 
-// lacksChanges tells whether the last answer held a part of the changes.
-func (c *Controller) lacksChanges() bool {
+// hasMoreChanges reports whether the last answer held only part of the changes.
+func (c *Controller) hasMoreChanges() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lacks
+	return c.moreChanges
 }
 
-// pauseBeforeFirst returns the pause before the first update, more or less a half: hundreds of
-// routers that start together ask the same relays.
-func (c *Controller) pauseBeforeFirst() time.Duration {
+// startupPause returns the pause between requests before the first update, with a jitter of half
+// the pause either way: hundreds of routers that start together query the same relays.
+func (c *Controller) startupPause() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	pause := min(askFirst<<c.firstAsks, askEvery)
-	if pause < askEvery {
-		c.firstAsks++
+	pause := min(initialRequestInterval<<c.startupRequests, requestInterval)
+	if pause < requestInterval {
+		c.startupRequests++
 	}
 	return pause/2 + rand.N(pause)
 }
 
-// isBehind tells whether this router lacks updates that it may get soon: others wait for them,
-// or its state has just exceeded the bound of a relay.
+// isBehind reports whether this router lacks updates that it may receive soon: other routers wait
+// for them, or its state has recently exceeded the staleness bound of a relay.
 func (c *Controller) isBehind() bool {
 	if c.UpdatesOthers() {
 		return !c.RecentlyUpdated() && !c.Fresh()
 	}
-	expected := 2*c.interval() + soonFor
+	expected := 2*c.interval() + catchUpGrace
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ages := c.known.ages(clock.Now())
 	expectsUpdate := clock.Since(c.updatedAt) <= expected || clock.Since(c.Answered()) <= expected
-	return expectsUpdate && !within(ages, c.StaleAfter(true))
+	return expectsUpdate && !withinLimits(ages, c.StaleAfter(true))
 }
 
-// choose returns the router to ask: the one that sent the last update, or the next candidate.
-func (c *Controller) choose() (string, bool) {
+// chooseRouter returns the router to query: the sender of the last update, or the next candidate.
+func (c *Controller) chooseRouter() (string, bool) {
 	c.mu.Lock()
-	relay, next := c.relay, c.next
+	relay, next := c.relay, c.nextIndex
 	c.mu.Unlock()
 	if relay != "" {
 		return relay, true
 	}
 	ids := c.candidates()
-	if next%strayEvery == strayEvery-1 {
+	if next%randomPeerEvery == randomPeerEvery-1 {
 		ids = c.Members.Others(clock.Now())
 		next = rand.IntN(max(len(ids), 1))
 	}
@@ -127,8 +126,8 @@
 	return ids[next%len(ids)], true
 }
 
-func (c *Controller) ask(ctx context.Context) {
-	id, ok := c.choose()
+func (c *Controller) requestUpdates(ctx context.Context) {
+	id, ok := c.chooseRouter()
 	if !ok {
 		return
 	}
@@ -140,7 +139,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, c.timeout(callTimeout))
 	defer cancel()
 	begun := clock.Now()
-	answer, err := c.Calls.Updates(callCtx, addr, c.request())
+	answer, err := c.Calls.Updates(callCtx, addr, c.newRequest())
 	if c.Took != nil {
 		c.Took(clock.Since(begun))
 	}
@@ -152,15 +151,15 @@
 		c.tryNext()
 		return
 	}
-	c.receiving.Lock()
-	defer c.receiving.Unlock()
+	c.receiveMu.Lock()
+	defer c.receiveMu.Unlock()
 	c.Members.Reached(id)
 	c.receiveReports(answer)
 	c.receive(ctx, id, answer, begun)
 }
 
-// request returns a request for the changes after those received last.
-func (c *Controller) request() *peer.UpdatesRequest {
+// newRequest returns a request for the changes since the last received ones.
+func (c *Controller) newRequest() *peer.UpdatesRequest {
 	servers, routers := c.Servers.Revision(), int64(0)
 	if c.Routers != nil {
 		routers = c.Routers.Revision()
@@ -170,6 +169,6 @@
 	return &peer.UpdatesRequest{
 		Servers: servers, Routers: routers,
 		ReportSource: c.reportSource, VerdictSeq: c.verdictSeq, LimitSeq: c.limitSeq,
-		StoreAnswered: !c.upToDate() && clock.Since(c.Answered()) <= askEvery,
+		StoreAnswered: !c.upToDate() && clock.Since(c.Answered()) <= requestInterval,
 	}
 }
--- a/controller/updates/calls.go
+++ b/controller/updates/calls.go
@@ -6,9 +6,9 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Calls calls the router at an address.
+// Calls sends requests to the router at an address.
 type Calls interface {
-	// Updates requests the changes after those that the calling router has.
+	// Updates requests the changes that the calling router does not have yet.
 	Updates(ctx context.Context, addr string, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error)
 	// Config fetches the configuration.
 	Config(ctx context.Context, addr string) (*peer.ConfigAnswer, error)
@@ -16,22 +16,22 @@
 	List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error)
 }
 
-// Over returns calls over the protocol between routers.
-func Over(client *peer.Client) Calls { return overPeers{client} }
+// Over returns an implementation of Calls that uses the peer protocol.
+func Over(client *peer.Client) Calls { return peerCalls{client} }
 
-type overPeers struct{ client *peer.Client }
+type peerCalls struct{ client *peer.Client }
 
 // Updates implements Calls.
-func (p overPeers) Updates(ctx context.Context, addr string, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error) {
+func (p peerCalls) Updates(ctx context.Context, addr string, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error) {
 	return peer.Call[peer.UpdatesRequest, peer.UpdatesAnswer](ctx, p.client, addr, peer.MethodUpdates, req)
 }
 
 // Config implements Calls.
-func (p overPeers) Config(ctx context.Context, addr string) (*peer.ConfigAnswer, error) {
+func (p peerCalls) Config(ctx context.Context, addr string) (*peer.ConfigAnswer, error) {
 	return peer.Call[peer.Empty, peer.ConfigAnswer](ctx, p.client, addr, peer.MethodConfig, &peer.Empty{})
 }
 
 // List implements Calls.
-func (p overPeers) List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error) {
+func (p peerCalls) List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error) {
 	return peer.Call[peer.ListRequest, peer.ListAnswer](ctx, p.client, addr, peer.MethodList, req)
 }
--- a/controller/updates/changes.go
+++ b/controller/updates/changes.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// changesMost is about how many changes an answer holds: it crosses a small link within a
-	// request's time, and whoever lacks more asks again at once.
-	changesMost = 512
-	// packFrom is the number of changes from which they are compressed.
-	packFrom = 32
+	// maxChanges is the approximate maximum of changes in an answer, so that it crosses a small
+	// link within the timeout of a request. A router that needs more sends the next request at
+	// once.
+	maxChanges = 512
+	// compressMin is the number of changes from which an answer is compressed.
+	compressMin = 32
 )
 
-// packedChanges are the changes of a kind that were compressed lately, by the revision after which
-// they are. The routers that a relay updates mostly have one of a few revisions.
-type packedChanges struct {
+// changesCache holds recently compressed changes of a kind, by the revision that they follow. Most
+// routers that a relay updates are at one of a few revisions.
+type changesCache struct {
 	mu sync.Mutex
-	// known is the revision up to which the answering router knew all changes.
-	known  int64
-	byFrom map[int64]packedChange
+	// known is the revision up to which this router knew all changes at the last lookup.
+	known      int64
+	byRevision map[int64]cachedAnswer
 }
 
-type packedChange struct {
-	text []byte
-	made time.Time
-	upTo int64
-	more bool
+type cachedAnswer struct {
+	data       []byte
+	createdAt  time.Time
+	upTo       int64
+	moreToCome bool
 }
 
 // changesSince returns the changes of a kind after a revision.
@@ -41,83 +42,83 @@
 	if !ok || replica.Revision() == 0 {
 		return peer.Changes{}
 	}
-	cache := c.packed[kind]
+	cache := c.cachedChanges[kind]
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	if p, ok := cache.get(revision, replica.Revision()); ok {
 		return p.answer()
 	}
-	changes, held := replica.Since(revision, changesMost)
-	if !held || len(changes.Values) < packFrom {
+	changes, held := replica.Since(revision, maxChanges)
+	if !held || len(changes.Values) < compressMin {
 		return peer.Changes{UpTo: changes.UpTo, List: !held, More: changes.More, Changed: registrations(changes.Values)}
 	}
 	p, err := cache.put(revision, changes)
 	if err != nil {
-		c.Log.Error("changes not compressed", zap.String("kind", string(kind)), zap.Error(err))
+		c.Log.Error("failed to compress changes", zap.String("kind", string(kind)), zap.Error(err))
 		return peer.Changes{UpTo: changes.UpTo, More: changes.More, Changed: registrations(changes.Values)}
 	}
 	return p.answer()
 }
 
-// get returns the changes after a revision if nothing is to be added to them, and drops those to
-// which something is.
-func (p *packedChanges) get(from, known int64) (packedChange, bool) {
+// get returns the cached changes after a revision, after dropping the entries that newer changes
+// have made incomplete.
+func (p *changesCache) get(from, known int64) (cachedAnswer, bool) {
 	if known != p.known {
-		for from, one := range p.byFrom {
-			if !one.more || clock.Since(one.made) > snapshotServes {
-				delete(p.byFrom, from)
+		for from, entry := range p.byRevision {
+			if !entry.moreToCome || clock.Since(entry.createdAt) > snapshotTTL {
+				delete(p.byRevision, from)
 			}
 		}
 		p.known = known
 	}
-	one, ok := p.byFrom[from]
-	return one, ok
+	entry, ok := p.byRevision[from]
+	return entry, ok
 }
 
-func (p *packedChanges) put(from int64, changes changelog.Changes[changelog.Received]) (packedChange, error) {
+func (p *changesCache) put(from int64, changes changelog.Changes[changelog.Received]) (cachedAnswer, error) {
 	text, err := packPage(changes.Values)
-	one := packedChange{text: text, made: clock.Now(), upTo: changes.UpTo, more: changes.More}
+	entry := cachedAnswer{data: text, createdAt: clock.Now(), upTo: changes.UpTo, moreToCome: changes.More}
 	if err == nil {
-		p.byFrom[from] = one
+		p.byRevision[from] = entry
 	}
-	return one, err
+	return entry, err
 }
 
-func (p packedChange) answer() peer.Changes {
-	return peer.Changes{UpTo: p.upTo, More: p.more, Packed: p.text, PackedAge: clock.Since(p.made)}
+func (p cachedAnswer) answer() peer.Changes {
+	return peer.Changes{UpTo: p.upTo, More: p.moreToCome, Packed: p.data, PackedAge: clock.Since(p.createdAt)}
 }
 
-// taken is what came of the changes in an answer.
-type taken int
+// applyResult is the result of applying the changes in an answer.
+type applyResult int
 
 const (
-	// takenAll: all changes are known now.
-	takenAll taken = iota
-	// takenSome: more changes are to be asked for.
-	takenSome
-	// takenNone: the answer holds none; all objects are to be read.
-	takenNone
+	// appliedAll means that all changes are now known.
+	appliedAll applyResult = iota
+	// appliedPart means that more changes must be requested.
+	appliedPart
+	// listRequired means that the answer holds no changes and all objects must be listed.
+	listRequired
 )
 
-// take takes the changes of a kind that another router sent.
-func (c *Controller) take(kind peer.Kind, changes peer.Changes) (taken, error) {
+// applyChanges applies the changes of a kind that another router sent.
+func (c *Controller) applyChanges(kind peer.Kind, changes peer.Changes) (applyResult, error) {
 	replica, ok := c.replica(kind)
 	switch {
 	case !ok || changes.UpTo == 0:
-		return takenAll, nil
+		return appliedAll, nil
 	case changes.List:
-		return takenNone, nil
+		return listRequired, nil
 	}
 	changed := changes.Changed
 	if changes.Packed != nil {
 		var err error
 		if changed, err = unpackPage(changes.Packed); err != nil {
-			return takenSome, err
+			return appliedPart, err
 		}
 	}
 	replica.TakeUpdate(receivedFrom(changed, max(changes.PackedAge, 0)), changes.UpTo)
 	if changes.More {
-		return takenSome, nil
+		return appliedPart, nil
 	}
-	return takenAll, nil
+	return appliedAll, nil
 }
--- a/controller/updates/evacuated_test.go
+++ b/controller/updates/evacuated_test.go
@@ -7,19 +7,19 @@
 	"github.com/gaplink/gaplink/bound"
 )
 
-// The bound on the evacuation of a failure domain is that of the deployment that asks for
-// it, 5 s.
+// evacuationBound is the bound on propagating the evacuation of a failure domain, as configured by
+// the deployment that uses it: 5 s.
 const evacuationBound = 5 * time.Second
 
 func evacuationParts() bound.Parts { return bound.Divide(evacuationBound, true) }
 
-func playEmptying(t *testing.T, body func(*fleet)) {
-	playWith(t, &fleet{evacuates: true}, body)
+func simulateEvacuations(t *testing.T, body func(*fleet)) {
+	simulateFleet(t, &fleet{evacuates: true}, body)
 }
 
-// empty empties a failure domain, or takes that back, and checks that all routers follow
-// in time.
-func (f *fleet) empty(t *testing.T, domain string, evacuated bool) {
+// setEvacuated evacuates or restores a failure domain and checks that all routers learn of it
+// within the bound.
+func (f *fleet) setEvacuated(t *testing.T, domain string, evacuated bool) {
 	t.Helper()
 	key := "evacuated/" + domain
 	if evacuated {
@@ -35,20 +35,20 @@
 	}
 	begun := time.Now()
 	for {
-		late := f.withoutWord(domain, evacuated)
+		late := f.outdated(domain, evacuated)
 		if len(late) == 0 {
 			t.Logf("at all routers after %v", time.Since(begun))
 			return
 		}
 		if time.Since(begun) > evacuationBound {
-			t.Fatalf("routers %v have not followed within %v", late, evacuationBound)
+			t.Fatalf("routers %v have not received the change within %v", late, evacuationBound)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// withoutWord returns the routers that do not know whether a failure domain is evacuated.
-func (f *fleet) withoutWord(domain string, evacuated bool) (late []int) {
+// outdated returns the running routers that do not know the current state of a failure domain.
+func (f *fleet) outdated(domain string, evacuated bool) (late []int) {
 	for _, r := range f.all {
 		f.mu.Lock()
 		gone := f.stopped[r.addr]
@@ -61,59 +61,59 @@
 	return late
 }
 
-// TestEvacuationReachesAllRouters: domains are evacuated and taken back in turn, together
-// and all of them, while the watch of any of the watchers may be stalled.
+// TestEvacuationReachesAllRouters evacuates and restores domains, some at the same time, while the
+// watch of one of the watchers is stalled.
 func TestEvacuationReachesAllRouters(t *testing.T) {
-	playEmptying(t, func(f *fleet) {
-		f.empty(t, "z0", true)
-		f.empty(t, "z1", true)
-		f.empty(t, "z0", false)
+	simulateEvacuations(t, func(f *fleet) {
+		f.setEvacuated(t, "z0", true)
+		f.setEvacuated(t, "z1", true)
+		f.setEvacuated(t, "z0", false)
 		for n := range routers / 20 {
 			f.mu.Lock()
 			f.stalled = func(router int) bool { return router == n }
 			f.mu.Unlock()
 			time.Sleep(evacuationParts().Watch)
-			f.empty(t, "z2", n%2 == 0)
+			f.setEvacuated(t, "z2", n%2 == 0)
 		}
-		f.empty(t, "nowhere", true)
+		f.setEvacuated(t, "nowhere", true)
 	})
 }
 
-// TestEvacuationReachesAllRoutersThroughFaults: watchers and relays die, or the store
-// turns them away, while a domain is evacuated and while that is taken back.
+// TestEvacuationReachesAllRoutersThroughFaults evacuates and restores a domain after watchers and
+// relays have failed or the store refuses their calls.
 func TestEvacuationReachesAllRoutersThroughFaults(t *testing.T) {
 	faults := map[string]func(*fleet){
-		"watchers die":                 func(f *fleet) { f.end(func(n int) bool { return n < routers/20 }) },
-		"watchers and some relays die": func(f *fleet) { f.end(func(n int) bool { return n < routers/20 || n%7 == 0 }) },
-		"watchers turned away":         func(f *fleet) { f.cut(func(n int) bool { return n < routers/20 }) },
-		"most turned away":             func(f *fleet) { f.cut(func(n int) bool { return n < routers*4/5 }) },
+		"watchers die":                 func(f *fleet) { f.stopRouters(func(n int) bool { return n < routers/20 }) },
+		"watchers and some relays die": func(f *fleet) { f.stopRouters(func(n int) bool { return n < routers/20 || n%7 == 0 }) },
+		"watchers turned away":         func(f *fleet) { f.refuse(func(n int) bool { return n < routers/20 }) },
+		"most turned away":             func(f *fleet) { f.refuse(func(n int) bool { return n < routers*4/5 }) },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			playEmptying(t, func(f *fleet) {
+			simulateEvacuations(t, func(f *fleet) {
 				fault(f)
-				f.empty(t, "z3", true)
-				f.empty(t, "z3", false)
+				f.setEvacuated(t, "z3", true)
+				f.setEvacuated(t, "z3", false)
 			})
 		})
 	}
 }
 
-// TestEvacuationOfAnOutageIsFollowedAfterIt: it is made, and later taken back, while no
-// router reaches the store, and every router follows soon after the outage.
-func TestEvacuationOfAnOutageIsFollowedAfterIt(t *testing.T) {
-	playEmptying(t, func(f *fleet) {
+// TestEvacuationDuringAnOutagePropagatesAfterIt checks that every router learns of an evacuation,
+// and later of its end, within the bound after an outage during which no router reached the store.
+func TestEvacuationDuringAnOutagePropagatesAfterIt(t *testing.T) {
+	simulateEvacuations(t, func(f *fleet) {
 		for _, evacuated := range []bool{true, false} {
-			f.cut(func(int) bool { return true })
+			f.refuse(func(int) bool { return true })
 			time.Sleep(6 * time.Second)
-			f.cut(nobody)
-			f.empty(t, "z1", evacuated)
+			f.refuse(nobody)
+			f.setEvacuated(t, "z1", evacuated)
 		}
 	})
 }
 
-// end stops routers without a word.
-func (f *fleet) end(dies func(int) bool) {
+// stopRouters stops routers without notice.
+func (f *fleet) stopRouters(dies func(int) bool) {
 	for _, r := range f.all {
 		if !dies(r.number) {
 			continue
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -37,10 +37,10 @@
 	"github.com/gaplink/gaplink/wait"
 )
 
-// The tests here play how a fleet of many small routers in five failure domains, of
-// which a few have large links, learns what is new in the store: in virtual time,
-// with followers and questions between routers, without a network. The bound on a
-// change is that of a large deployment, 4 s.
+// These tests simulate how changes in the store propagate in a fleet of many small routers in five
+// failure domains, of which a few have large links. They run in virtual time, with followers and
+// requests between routers but without a network. The bound on a change is that of a large
+// deployment, 4 s.
 const (
 	routers     = 60
 	domains     = 5
@@ -48,9 +48,9 @@
 	configKey   = "config/main"
 )
 
-// fleet is the routers with their store.
+// fleet is a simulated fleet of routers with their store.
 type fleet struct {
-	// ctx ends when the play does.
+	// ctx ends with the simulation.
 	ctx     context.Context
 	objects *memory.Store
 
@@ -58,37 +58,37 @@
 	size int
 
 	mu     sync.Mutex
-	calls  int // at the full price
+	calls  int // full calls; probes are counted apart
 	byEach map[int]int
 	probes int
-	// questions are the requests for updates that were answered, pages those of lists, and
-	// hellos the introductions.
-	questions, pages, pageBytes, hellos int
-	// lists are the lists of servers that the store sent, and linkFree is when its link is free.
+	// requests counts the update requests that reached a router, pages the answered requests for
+	// pages of lists, and hellos the introductions.
+	requests, pages, pageBytes, hellos int
+	// lists counts the lists of servers read from the store, and linkFree is when its link is free.
 	lists    int
 	linkFree time.Time
-	// largest is the size of the largest answer to a request for updates, in bytes.
+	// largest is the size of the largest answer to an update request, in bytes.
 	largest int
 
-	reports int // of requests that end servers
+	reports int // of requests that crash servers
 	// limitReports counts the reports of rate limits.
 	limitReports int
-	cutOff       func(router int) bool // from the store
-	stalled      func(router int) bool // watches of it stall
-	muted        func(router int) bool // the store does not say a word to it
+	refused      func(router int) bool // routers whose calls the store refuses at once
+	stalled      func(router int) bool // routers whose watches stall
+	ignored      func(router int) bool // routers whose calls the store leaves unanswered
 	// answered is when the store last answered each router.
 	answered map[int]time.Time
-	// within is the operator's bound on changes; 0: that of a large deployment.
+	// within is the operator's bound on changes; 0 means that of a large deployment.
 	within  time.Duration
-	stopped map[string]bool // routers that do not answer, by address
-	all     []*one
-	byAddr  map[string]*one
-	// evacuates tells that routers follow evacuations.
+	stopped map[string]bool // stopped routers, by address
+	all     []*testRouter
+	byAddr  map[string]*testRouter
+	// evacuates is set if routers follow evacuations.
 	evacuates bool
 }
 
-// one is one router.
-type one struct {
+// testRouter is one router of a simulated fleet.
+type testRouter struct {
 	fleet   *fleet
 	number  int
 	addr    string
@@ -98,7 +98,7 @@
 	members *members.Controller
 	ctx     context.Context
 	stop    context.CancelFunc
-	// roster is nil at routers that know the others from the start.
+	// roster is nil if the router knows the others from the start.
 	roster        *roster.Controller
 	followRouters *follow.Follower
 	followers     []*follow.Follower
@@ -108,32 +108,32 @@
 	evacuations *evacuations.Controller
 }
 
-// errCut is the silence of a store that a router cannot reach.
-var errCut = fmt.Errorf("%w: cut off", store.ErrUnknown)
+// errRefused is the error of a store that a router cannot reach.
+var errRefused = fmt.Errorf("%w: cut off", store.ErrUnknown)
 
-// silence is a call of a store that says nothing.
-func silence(ctx context.Context, timeout time.Duration) error {
-	return errors.Join(errCut, wait.For(ctx, timeout))
+// hang makes a call that the store leaves unanswered until the timeout.
+func hang(ctx context.Context, timeout time.Duration) error {
+	return errors.Join(errRefused, wait.For(ctx, timeout))
 }
 
-// view is the store as one router sees it.
-type view struct {
+// routerStore is the store as seen by one router.
+type routerStore struct {
 	store.Store
 	router int
 	fleet  *fleet
 }
 
-// gets tells whether a call that was counted gets through; one that does not takes until
-// its timeout to be given up, or is refused at once.
-func (v view) gets(ctx context.Context, timeout time.Duration) error {
+// reach returns an error if the store does not answer the router: at once if it refuses the call,
+// or after the timeout if it leaves the call unanswered.
+func (v routerStore) reach(ctx context.Context, timeout time.Duration) error {
 	v.fleet.mu.Lock()
-	refused, muted := v.fleet.cutOff(v.router), v.fleet.muted(v.router)
+	refused, ignored := v.fleet.refused(v.router), v.fleet.ignored(v.router)
 	v.fleet.mu.Unlock()
-	if muted {
-		return silence(ctx, timeout)
+	if ignored {
+		return hang(ctx, timeout)
 	}
 	if refused {
-		return errCut
+		return errRefused
 	}
 	v.fleet.mu.Lock()
 	defer v.fleet.mu.Unlock()
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// count counts a call at the full price.
-func (v view) count() {
+// count counts a full call.
+func (v routerStore) count() {
 	v.fleet.mu.Lock()
 	defer v.fleet.mu.Unlock()
 	v.fleet.calls++
@@ -156,7 +156,7 @@
 	*counter += n
 }
 
-// noteAnswer notes the size of an answer, by that of the registrations in it.
+// noteAnswer records the size of an answer, measured by its registrations.
 func (f *fleet) noteAnswer(answer *peer.UpdatesAnswer) {
 	size := len(answer.Servers.Packed) + len(answer.Routers.Packed)
 	for _, r := range answer.Servers.Changed {
@@ -167,49 +167,49 @@
 	f.largest = max(f.largest, size)
 }
 
-// probe asks at a tenth of the price.
-func (v view) probe(ctx context.Context) error {
+// probe makes a call that costs a tenth of a full one.
+func (v routerStore) probe(ctx context.Context) error {
 	v.fleet.mu.Lock()
 	v.fleet.probes++
 	v.fleet.mu.Unlock()
-	return v.gets(ctx, bound.CallTimeout)
+	return v.reach(ctx, bound.CallTimeout)
 }
 
-func (v view) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
+func (v routerStore) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
 	v.count()
-	if err := v.gets(ctx, bound.CallTimeout); err != nil {
+	if err := v.reach(ctx, bound.CallTimeout); err != nil {
 		return nil, 0, err
 	}
 	return v.Store.List(ctx, prefix)
 }
 
-// Watch gives an answer that was ready only to a router that the store still reaches.
-func (v view) Watch(ctx context.Context, prefix string, since int64, waits time.Duration) (store.Events, error) {
+// Watch returns the store's answer only if the store still answers the router by then.
+func (v routerStore) Watch(ctx context.Context, prefix string, since int64, waits time.Duration) (store.Events, error) {
 	v.count()
-	if err := v.gets(ctx, waits+bound.WatchSlack); err != nil {
+	if err := v.reach(ctx, waits+bound.WatchSlack); err != nil {
 		return store.Events{}, err
 	}
 	v.fleet.mu.Lock()
 	stalled := v.fleet.stalled(v.router)
 	v.fleet.mu.Unlock()
 	if stalled {
-		return store.Events{}, silence(ctx, waits+bound.WatchSlack)
+		return store.Events{}, hang(ctx, waits+bound.WatchSlack)
 	}
 	begun := time.Now()
 	ev, err := v.Store.Watch(ctx, prefix, since, waits)
-	if late := v.gets(ctx, waits+bound.WatchSlack-time.Since(begun)); late != nil {
+	if late := v.reach(ctx, waits+bound.WatchSlack-time.Since(begun)); late != nil {
 		return store.Events{}, late
 	}
 	return ev, err
 }
 
-// errDown is the silence of a router that is gone.
+// errDown is the error of a call to a stopped router.
 var errDown = errors.New("no answer")
 
-// calls carries questions within the fleet in a millisecond.
-type calls struct{ fleet *fleet }
+// fleetCalls carries requests between the routers of a fleet with a latency of a millisecond.
+type fleetCalls struct{ fleet *fleet }
 
-func (c calls) at(ctx context.Context, addr string) (*one, error) {
+func (c fleetCalls) at(ctx context.Context, addr string) (*testRouter, error) {
 	if err := wait.For(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
@@ -223,12 +223,12 @@
 }
 
 // Updates implements updates.Calls.
-func (c calls) Updates(ctx context.Context, addr string, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error) {
+func (c fleetCalls) Updates(ctx context.Context, addr string, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error) {
 	r, err := c.at(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	c.fleet.count(&c.fleet.questions, 1)
+	c.fleet.count(&c.fleet.requests, 1)
 	answer, err := r.updates.Answer(ctx, req)
 	if err == nil {
 		c.fleet.noteAnswer(answer)
@@ -237,7 +237,7 @@
 }
 
 // Config implements updates.Calls.
-func (c calls) Config(ctx context.Context, addr string) (*peer.ConfigAnswer, error) {
+func (c fleetCalls) Config(ctx context.Context, addr string) (*peer.ConfigAnswer, error) {
 	r, err := c.at(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 }
 
 // List implements updates.Calls.
-func (c calls) List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error) {
+func (c fleetCalls) List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error) {
 	r, err := c.at(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -276,14 +276,14 @@
 
 func nobody(int) bool { return false }
 
-// play starts a fleet whose store holds a configuration and a server, lets it settle,
-// and runs body in virtual time.
-func play(t *testing.T, body func(*fleet)) {
-	playWith(t, &fleet{}, body)
+// simulate starts a fleet whose store holds a configuration and a server, waits until all routers
+// know them, and runs body in virtual time.
+func simulate(t *testing.T, body func(*fleet)) {
+	simulateFleet(t, &fleet{}, body)
 }
 
-// playWith is play with a fleet of which some properties are set.
-func playWith(t *testing.T, f *fleet, body func(*fleet)) {
+// simulateFleet is simulate for a fleet of which some fields are set.
+func simulateFleet(t *testing.T, f *fleet, body func(*fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f.prepare(t)
 		f.register(t, "first", false)
@@ -291,19 +291,19 @@
 			f.add(n)
 		}
 		time.Sleep(3 * time.Second)
-		if late := f.without(1, 1); len(late) > 0 {
-			t.Fatalf("routers %v know nothing three seconds after their start", late)
+		if late := f.behind(1, 1); len(late) > 0 {
+			t.Fatalf("routers %v are not up to date three seconds after their start", late)
 		}
 		body(f)
 	})
 }
 
-// prepare gives a fleet its store, with a configuration.
+// prepare creates the store of a fleet, with a configuration.
 func (f *fleet) prepare(t *testing.T) {
 	t.Helper()
 	f.ctx = t.Context()
-	f.objects, f.cutOff, f.stalled, f.muted, f.stopped = memory.New(), nobody, nobody, nobody, map[string]bool{}
-	f.byAddr, f.byEach, f.answered = map[string]*one{}, map[int]int{}, map[int]time.Time{}
+	f.objects, f.refused, f.stalled, f.ignored, f.stopped = memory.New(), nobody, nobody, nobody, map[string]bool{}
+	f.byAddr, f.byEach, f.answered = map[string]*testRouter{}, map[int]int{}, map[int]time.Time{}
 	f.configure(t, 1)
 }
 
@@ -328,7 +328,7 @@
 	f.put(t, "servers/"+id, placement.Server{Service: "svc", Leaving: leaving})
 }
 
-// member is a router; every twentieth has a large link.
+// member returns a router's membership entry; one router in twenty has a large link.
 func member(n int) membership.Member {
 	m := membership.Member{
 		ID: fmt.Sprintf("r%03d", n), Kind: "router", Addr: fmt.Sprintf("10.0.0.%d:1", n),
@@ -349,23 +349,24 @@
 	r.run()
 }
 
-// storeOf returns the store as a router sees it; that of a model has a link of its own.
+// storeOf returns the store as seen by a router. In the fleet model it has pages and a link of
+// limited throughput.
 func (f *fleet) storeOf(n int) store.Store {
 	if f.size > 0 {
-		return pagedStore{view{f.objects, n, f}}
+		return pagedStore{routerStore{f.objects, n, f}}
 	}
-	return view{f.objects, n, f}
+	return routerStore{f.objects, n, f}
 }
 
-// build returns a router that has not started yet; with discover it finds the others by itself.
-func (f *fleet) build(n int, self membership.Member, discover func(*one) *roster.Controller) *one {
+// build returns a router that has not started yet. With discover it finds the other routers itself.
+func (f *fleet) build(n int, self membership.Member, discover func(*testRouter) *roster.Controller) *testRouter {
 	ctx, cancel := context.WithCancel(f.ctx)
 	known := members.New(self, nil, 0, zap.NewNop())
-	r := &one{fleet: f, number: n, addr: self.Addr, ctx: ctx, stop: cancel}
+	r := &testRouter{fleet: f, number: n, addr: self.Addr, ctx: ctx, stop: cancel}
 	r.configs = configs.New(configKey, decodeConfig, func(*catalog.Catalog) {}, zap.NewNop())
 	r.servers = registry.New(decodeServer, upstream.New(upstream.Options{}), rand.New(rand.NewPCG(1, uint64(n))), zap.NewNop())
 	var followers []*follow.Follower
-	both := func(holds func(*follow.Follower) bool) (n int) {
+	count := func(holds func(*follow.Follower) bool) (n int) {
 		for _, w := range followers {
 			if holds(w) {
 				n++
@@ -384,18 +385,18 @@
 		Changed: r.servers.SetEvacuated,
 		Log:     zap.NewNop(),
 	})
-	r.verdicts = verdicts.New(verdicts.Options{Checker: gone{}, Servers: allWork{}, Fleet: peers{calls{f}, r}, Updated: r.fromRelays, PausesNoticed: true, Log: zap.NewNop()})
+	r.verdicts = verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Fleet: verdictPeers{fleetCalls{f}, r}, Updated: r.fromRelays, PausesNoticed: true, Log: zap.NewNop()})
 	r.limits = limits.New(limits.Options{
-		Self: self.ID, Fleet: limitPeers{peers{calls{f}, r}}, Settled: func() bool { return true },
+		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, Settled: func() bool { return true },
 		Updated: r.fromRelays, Driven: true,
 		Runs: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
 	})
 	r.updates = updates.New(updates.Options{
-		Configs: r.configs, Servers: r.servers, Members: known, Calls: calls{f},
+		Configs: r.configs, Servers: r.servers, Members: known, Calls: fleetCalls{f},
 		Verdicts: r.verdicts, Limits: r.limits, Evacuations: r.evacuations,
 		Self: self.ID + "/1", Domain: self.Domain,
-		Lost:       func() bool { return both((*follow.Follower).Lost) > 0 },
-		Fresh:      func() bool { return both((*follow.Follower).Fresh) == len(followers) },
+		Lost:       func() bool { return count((*follow.Follower).Lost) > 0 },
+		Fresh:      func() bool { return count((*follow.Follower).Fresh) == len(followers) },
 		AsOf:       func() updates.Timestamps { return asOf(followers) },
 		StaleAfter: f.staleAfter,
 		AskEvery:   func() time.Duration { return f.parts().Ask },
@@ -410,7 +411,7 @@
 		return follow.Options{
 			Store: f.storeOf(n), Prefix: kind, Handler: handler, Role: r.updates.Role,
 			Bound: f.parts, Changed: r.updates.RoleChanged, IsRelay: r.updates.IsRelay, Answered: r.updates.StoreAnswered, Log: zap.NewNop(),
-			Probe:             view{f.objects, n, f}.probe,
+			Probe:             routerStore{f.objects, n, f}.probe,
 			AnsweredElsewhere: r.updates.RecentlyUpdated,
 		}
 	}
@@ -440,11 +441,11 @@
 	return r
 }
 
-// fromRelays tells whether relays send this router all reports.
-func (r *one) fromRelays() bool { return !r.updates.UpdatesOthers() }
+// fromRelays reports whether relays send all reports to this router.
+func (r *testRouter) fromRelays() bool { return !r.updates.UpdatesOthers() }
 
 // run starts a router.
-func (r *one) run() {
+func (r *testRouter) run() {
 	for _, w := range r.followers {
 		go w.Run(r.ctx)
 	}
@@ -457,8 +458,8 @@
 	go r.servers.Run(r.ctx)
 }
 
-// asOf returns the timestamps of followers of configurations, servers and, if there is a third
-// one, evacuations.
+// asOf returns the timestamps of the followers of configurations, servers and, if there is a third
+// follower, evacuations.
 func asOf(followers []*follow.Follower) updates.Timestamps {
 	m := updates.Timestamps{Config: followers[0].AsOf(), Servers: followers[1].AsOf()}
 	if len(followers) > 2 {
@@ -467,10 +468,10 @@
 	return m
 }
 
-// restart ends a router and starts it anew.
+// restart stops a router and starts it again.
 func (f *fleet) restart(n int) {
 	f.mu.Lock()
-	f.all = slices.DeleteFunc(f.all, func(r *one) bool {
+	f.all = slices.DeleteFunc(f.all, func(r *testRouter) bool {
 		if r.number == n {
 			r.stop()
 		}
@@ -480,9 +481,9 @@
 	f.add(n)
 }
 
-// without returns the routers that do not know a configuration and so many servers
-// in use.
-func (f *fleet) without(version int64, servers int) []int {
+// behind returns the running routers that do not have a configuration version or a number of
+// usable servers.
+func (f *fleet) behind(version int64, servers int) []int {
 	var late []int
 	for _, r := range f.all {
 		f.mu.Lock()
@@ -495,8 +496,8 @@
 	return late
 }
 
-// counted returns the calls since the last time.
-func (f *fleet) counted() int {
+// resetCalls returns the number of calls since it was called last.
+func (f *fleet) resetCalls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.calls
@@ -505,9 +506,9 @@
 	return n
 }
 
-// fewAsked checks that fewer than half of the routers have made calls since they were
-// counted last.
-func (f *fleet) fewAsked(t *testing.T) {
+// checkFewCallers checks that fewer than half of the routers have made calls since the last
+// resetCalls.
+func (f *fleet) checkFewCallers(t *testing.T) {
 	t.Helper()
 	asked := 0
 	f.mu.Lock()
@@ -518,32 +519,32 @@
 	}
 	f.mu.Unlock()
 	if asked >= routers/2 {
-		t.Errorf("%d of %d routers made calls, %d together", asked, routers, f.counted())
+		t.Errorf("%d of %d routers made calls, %d together", asked, routers, f.resetCalls())
 	}
 }
 
-// probed returns the probes so far.
-func (f *fleet) probed() int {
+// probeCount returns the number of probes so far.
+func (f *fleet) probeCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.probes
 }
 
-// cut cuts routers off from the store.
-func (f *fleet) cut(off func(int) bool) {
+// refuse makes the store refuse the calls of some routers.
+func (f *fleet) refuse(off func(int) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cutOff = off
+	f.refused = off
 }
 
-// mute silences the store for routers.
-func (f *fleet) mute(off func(int) bool) {
+// ignore makes the store leave the calls of some routers unanswered.
+func (f *fleet) ignore(off func(int) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.muted = off
+	f.ignored = off
 }
 
-// parts divides the bound on changes.
+// parts returns the division of the bound on changes.
 func (f *fleet) parts() bound.Parts {
 	if f.within == 0 {
 		return bound.Divide(changeBound, true)
@@ -551,7 +552,7 @@
 	return bound.Divide(f.within, true)
 }
 
-// staleAfter are the ages from which routers look for the store.
+// staleAfter returns the ages above which routers query the store directly.
 func (f *fleet) staleAfter(updatesOthers bool) peer.Ages {
 	age := bound.Parts.StaleAfter
 	if updatesOthers {
@@ -564,24 +565,24 @@
 	return ages
 }
 
-// lastAnswer is when the store last answered a router.
+// lastAnswer returns when the store last answered a router.
 func (f *fleet) lastAnswer(router int) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.answered[router]
 }
 
-// never is when a store answers that is asked by followers alone.
+// never is the time of the last answer for a router whose store only followers call.
 func never() time.Time { return time.Time{} }
 
-// change makes a change of each kind and checks that all routers follow in time.
+// change makes a change of each kind and checks that all routers receive it within the bound.
 func (f *fleet) change(t *testing.T, version int64) {
 	t.Helper()
 	f.configure(t, version)
 	f.register(t, fmt.Sprint("s", version), false)
 	begun := time.Now()
 	for {
-		late := f.without(version, int(version))
+		late := f.behind(version, int(version))
 		if len(late) == 0 {
 			t.Logf("version %d at all routers after %v", version, time.Since(begun))
 			return
@@ -593,23 +594,24 @@
 	}
 }
 
-// TestQuietFleetAsksTheStoreSeldom: two routers watch for all, so that calls do not
-// grow with the fleet, and still a change is everywhere within a second.
-func TestQuietFleetAsksTheStoreSeldom(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.counted()
+// TestIdleFleetMakesFewStoreCalls checks that two routers watch the store for the whole fleet, so
+// that the number of calls does not grow with the fleet, and that a change still reaches all of
+// them within a second.
+func TestIdleFleetMakesFewStoreCalls(t *testing.T) {
+	simulate(t, func(f *fleet) {
+		f.resetCalls()
 		time.Sleep(24 * time.Second)
-		if n := f.counted(); n > 50 {
-			t.Errorf("%d calls in 24 quiet seconds", n)
+		if n := f.resetCalls(); n > 50 {
+			t.Errorf("%d calls in 24 idle seconds", n)
 		}
 		f.change(t, 2)
 	})
 }
 
-// TestChangeArrivesWithAStalledWatch: the connection of a watching router goes silent,
-// and nothing reports it. The other one makes up for it, whichever it is.
+// TestChangeArrivesWithAStalledWatch stalls the connection of either watcher without an error. The
+// other watcher must compensate for it.
 func TestChangeArrivesWithAStalledWatch(t *testing.T) {
-	play(t, func(f *fleet) {
+	simulate(t, func(f *fleet) {
 		for n := range routers / 20 {
 			f.mu.Lock()
 			f.stalled = func(router int) bool { return router == n }
@@ -620,46 +622,47 @@
 	})
 }
 
-// TestWatchesThatStallTogetherSendNoStampede: the store forgets its history, and the
-// watches of both routers that watch it stall from then on. Relays
-// find the store for all: of sixty routers fewer than half make a call of their own, where
-// each of 75 made three on a played day.
-func TestWatchesThatStallTogetherSendNoStampede(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.counted()
+// TestSimultaneouslyStalledWatchesCauseNoStampede guards against a stampede of calls after the
+// store has lost its history and the watches of both watchers stall. Relays query the store for all
+// others: of sixty routers fewer than half make a call of their own. In an earlier simulated day
+// each of 75 routers made three.
+func TestSimultaneouslyStalledWatchesCauseNoStampede(t *testing.T) {
+	simulate(t, func(f *fleet) {
+		f.resetCalls()
 		f.mu.Lock()
 		f.stalled = func(router int) bool { return router < routers/20 }
 		f.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		f.fewAsked(t)
+		f.checkFewCallers(t)
 		f.change(t, 2)
 	})
 }
 
-// TestEndOfAnOutageSendsNoStampede: a store that was silent for all answers all again. Those
-// that relay updates query it first, and most others are updated before they would.
+// TestEndOfAnOutageSendsNoStampede guards against a stampede of calls when the store answers all
+// routers again after an outage. Relays query it first, and most other routers receive updates
+// before they would query it.
 func TestEndOfAnOutageSendsNoStampede(t *testing.T) {
 	for range 10 {
-		play(t, func(f *fleet) {
-			f.mute(func(int) bool { return true })
+		simulate(t, func(f *fleet) {
+			f.ignore(func(int) bool { return true })
 			time.Sleep(8 * time.Second)
-			f.counted()
-			f.mute(nobody)
+			f.resetCalls()
+			f.ignore(nobody)
 			f.change(t, 2)
 			time.Sleep(3 * time.Second)
-			f.fewAsked(t)
+			f.checkFewCallers(t)
 		})
 	}
 }
 
-// Guards against relays that wait out their pause, or a probe without an answer, while the store
-// answers routers that wait for them.
+// TestRelaysFindTheStoreSoonAfterAnyRouter guards against relays that wait for the end of their
+// pause, or of an unanswered probe, while the store answers routers that wait for their updates.
 func TestRelaysFindTheStoreSoonAfterAnyRouter(t *testing.T) {
 	for range 5 {
-		play(t, func(f *fleet) {
-			f.mute(func(int) bool { return true })
+		simulate(t, func(f *fleet) {
+			f.ignore(func(int) bool { return true })
 			time.Sleep(8 * time.Second)
-			f.mute(nobody)
+			f.ignore(nobody)
 			time.Sleep(bound.AskEvery)
 			f.waitForAnyAnswer()
 			time.Sleep(time.Second)
@@ -670,7 +673,7 @@
 	}
 }
 
-// waitForAnyAnswer waits until the store has answered a router just now.
+// waitForAnyAnswer waits until the store answers any router.
 func (f *fleet) waitForAnyAnswer() {
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		for n := range routers {
@@ -681,7 +684,7 @@
 	}
 }
 
-// relaysUpdated returns how many relays are up to date.
+// relaysUpdated returns the number of relays that are up to date.
 func (f *fleet) relaysUpdated() int {
 	relays := f.all[0].updates.RelayIDs()
 	n := 0
@@ -693,9 +696,9 @@
 	return n
 }
 
-// TestChangeArrivesWhileTheStoreTurnsAwayWatchers: the store turns away those that
-// watch, or them and all relays, and serves the others.
-func TestChangeArrivesWhileTheStoreTurnsAwayWatchers(t *testing.T) {
+// TestChangeArrivesWhileTheStoreRefusesWatchers checks that changes propagate while the store
+// refuses the calls of the watchers, or of them and all relays, and answers the other routers.
+func TestChangeArrivesWhileTheStoreRefusesWatchers(t *testing.T) {
 	for name, away := range map[string]func(int) bool{
 		"watchers":             func(n int) bool { return n < routers/20 },
 		"two thirds":           func(n int) bool { return n%3 > 0 },
@@ -704,8 +707,8 @@
 		"all but one of these": func(n int) bool { return n%domains != 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.cut(away)
+			simulate(t, func(f *fleet) {
+				f.refuse(away)
 				time.Sleep(2 * time.Second)
 				f.change(t, 2)
 			})
@@ -713,35 +716,34 @@
 	}
 }
 
-// TestOutageOfTheStoreCostsFewCalls: all routers are cut off from the store for eight
-// seconds, which still reach each other, as on days with large deployments. A change
-// made meanwhile must be everywhere soon after.
+// TestOutageOfTheStoreCostsFewCalls checks the number of calls while no router reaches the store
+// for eight seconds but all routers reach each other, as happens during large deployments. A change
+// made after the outage must reach all routers within the bound.
 func TestOutageOfTheStoreCostsFewCalls(t *testing.T) {
-	const away = 8 * time.Second
-	play(t, func(f *fleet) {
-		f.counted()
-		f.cut(func(int) bool { return true })
-		time.Sleep(away)
-		// The calls are what was under way. Each router probes once soon, and then at most
-		// once in half of the time that the bound leaves.
-		calls, probes := f.counted(), f.probed()
-		if calls > 10 || probes > routers*(1+int(away/(f.parts().Retry()/2))) {
+	const outage = 8 * time.Second
+	simulate(t, func(f *fleet) {
+		f.resetCalls()
+		f.refuse(func(int) bool { return true })
+		time.Sleep(outage)
+		// The only full calls are those in progress when the outage begins. Each router probes
+		// once soon, and then at most once in half of the retry time within the bound.
+		calls, probes := f.resetCalls(), f.probeCount()
+		if calls > 10 || probes > routers*(1+int(outage/(f.parts().Retry()/2))) {
 			t.Errorf("%d calls and %d probes in eight seconds without the store", calls, probes)
 		}
 		for _, r := range f.all {
 			if !r.updates.StoreLost() {
-				t.Errorf("router %d does not know that the store is away", r.number)
+				t.Errorf("router %d does not know that the store is unreachable", r.number)
 			}
 		}
-		f.cut(nobody)
+		f.refuse(nobody)
 		f.change(t, 2)
 	})
 }
 
-// TestChangeArrivesAfterWatchersDied: the routers that watch and half of those that
-// relay are gone without notice.
-func TestChangeArrivesAfterWatchersDied(t *testing.T) {
-	play(t, func(f *fleet) {
+// TestChangeArrivesAfterWatchersFailed stops the watchers and half of the relays without notice.
+func TestChangeArrivesAfterWatchersFailed(t *testing.T) {
+	simulate(t, func(f *fleet) {
 		for _, r := range f.all {
 			if r.number < routers/20 || r.number%7 == 0 {
 				r.stop()
@@ -756,29 +758,29 @@
 	})
 }
 
-// TestUpdatesAreStaleAfterSuspension: a router that wakes does not go by updates of others from
-// before.
+// TestUpdatesAreStaleAfterSuspension checks that a router does not rely on updates received before
+// its machine was suspended.
 func TestUpdatesAreStaleAfterSuspension(t *testing.T) {
 	machine := clocktest.New(t)
-	play(t, func(f *fleet) {
+	simulate(t, func(f *fleet) {
 		last := f.all[routers-1]
 		if !last.updates.UpToDate() {
-			t.Fatal("the router watches the store for itself")
+			t.Fatal("the router receives no updates from others")
 		}
 		machine.Suspend(10 * time.Second)
 		if last.updates.UpToDate() {
 			t.Error("updates from before the suspension count as recent")
 		}
 		if ages := last.updates.Ages(); ages.Config < 10*time.Second || ages.Servers < 10*time.Second {
-			t.Errorf("they are %+v old after 10 s", ages)
+			t.Errorf("the updates are %+v old after 10 s", ages)
 		}
 		watcher := f.all[0].updates
 		if age := watcher.Ages().Config; age < 10*time.Second {
-			t.Errorf("what the store sent before is %v old", age)
+			t.Errorf("the configuration received from the store is %v old", age)
 		}
 		time.Sleep(2 * time.Second)
 		if age := last.updates.Ages().Config; age > f.parts().StaleAfter() {
-			t.Errorf("the configuration is %v old 2 s after waking", age)
+			t.Errorf("the configuration is %v old 2 s after the suspension", age)
 		}
 		if !last.updates.UpToDate() {
 			t.Error("no update 2 s after the suspension")
@@ -786,14 +788,14 @@
 	})
 }
 
-// peers carries the reports of a test's routers on requests that crash servers.
-type peers struct {
-	calls
-	self *one
+// verdictPeers carries the routers' reports on requests that crash servers.
+type verdictPeers struct {
+	fleetCalls
+	self *testRouter
 }
 
 // Report implements verdicts.Fleet; members are called by their address.
-func (p peers) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
+func (p verdictPeers) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
 	r, err := p.at(ctx, p.self.addrOf(id))
 	if err != nil {
 		return nil, err
@@ -805,17 +807,18 @@
 }
 
 // Listeners implements verdicts.Fleet.
-func (p peers) Listeners() []string { return p.self.updates.RelayIDs() }
+func (p verdictPeers) Listeners() []string { return p.self.updates.RelayIDs() }
 
 // Peers implements verdicts.Fleet.
-func (p peers) Peers() []string { return p.self.updates.RelayIDs() }
+func (p verdictPeers) Peers() []string { return p.self.updates.RelayIDs() }
 
-// TestVerdictReachesALargeFleet, with the store away from all and three ends that three
-// routers see: all know within a second, which is a third of the time that counts as in
-// touch, and those that observe a crash report it to a few routers.
+// TestVerdictReachesALargeFleet checks that, while no router reaches the store, three crashes
+// observed by three routers are known to all routers within a second, which is a third of the time
+// after which a router counts as out of touch. The routers that observe a crash report it to only a
+// few others.
 func TestVerdictReachesALargeFleet(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.cut(func(int) bool { return true })
+	simulate(t, func(f *fleet) {
+		f.refuse(func(int) bool { return true })
 		time.Sleep(5 * time.Second)
 		request := poison.Identity{Body: []byte("k")}.Fingerprint()
 		for n := range 3 {
@@ -824,7 +827,7 @@
 		}
 		for _, r := range f.all {
 			if _, refused := r.verdicts.Admit(request); !refused {
-				t.Errorf("router %d knows nothing a second after the third end", r.number)
+				t.Errorf("router %d does not know the verdict a second after the third crash", r.number)
 			}
 		}
 		f.mu.Lock()
@@ -835,8 +838,8 @@
 	})
 }
 
-// limitPeers is how the routers of a test report rate limits to each other.
-type limitPeers struct{ peers }
+// limitPeers carries the routers' reports on rate limits.
+type limitPeers struct{ verdictPeers }
 
 // Report implements limits.Fleet; members are called by their address.
 func (p limitPeers) Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error) {
@@ -855,15 +858,15 @@
 
 // Ask implements limits.Fleet.
 func (p limitPeers) Ask(context.Context, string, *peer.PermitRequest) (*peer.PermitAnswer, error) {
-	return nil, errCut
+	return nil, errRefused
 }
 
-// Guards against routers of a large fleet that do not learn in time that the limit of a
-// server has begun or ended, also while the store is away from all, and against reports
+// TestLimitReachesALargeFleet guards against routers of a large fleet that learn too late that a
+// server's rate limit has begun or ended while no router reaches the store, and against reports
 // from each router to each other one.
 func TestLimitReachesALargeFleet(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.cut(func(int) bool { return true })
+	simulate(t, func(f *fleet) {
+		f.refuse(func(int) bool { return true })
 		time.Sleep(5 * time.Second)
 		f.mu.Lock()
 		f.limitReports = 0
@@ -887,34 +890,34 @@
 	})
 }
 
-// gone finds every server gone.
-type gone struct{}
+// goneChecker reports every server as gone.
+type goneChecker struct{}
 
-func (gone) Check(context.Context, string, placement.Incarnation) upstream.Liveness {
+func (goneChecker) Check(context.Context, string, placement.Incarnation) upstream.Liveness {
 	return upstream.Gone
 }
 
-// allWork takes every server for one that takes work.
-type allWork struct{}
+// allUsable reports every server as accepting requests.
+type allUsable struct{}
 
-func (allWork) TakesWork(placement.Incarnation) bool { return true }
+func (allUsable) TakesWork(placement.Incarnation) bool { return true }
 
-func (r *one) addrOf(id string) string {
+func (r *testRouter) addrOf(id string) string {
 	addr, _ := r.members.Addr(id)
 	return addr
 }
 
-// TestListThatServesSeveralRoutersDropsNoNewServer: a router that begins while the list
-// for others is a moment old learns of servers that registered since by the next request.
-func TestListThatServesSeveralRoutersDropsNoNewServer(t *testing.T) {
-	play(t, func(f *fleet) {
+// TestReusedListOmitsNoNewServer checks that a starting router that receives a reused, slightly old
+// list learns of the servers registered since by its next request.
+func TestReusedListOmitsNoNewServer(t *testing.T) {
+	simulate(t, func(f *fleet) {
 		for n := range 12 {
 			f.register(t, fmt.Sprint("s", n), false)
 			time.Sleep(300 * time.Millisecond)
 			f.restart(routers - 1 - n)
 		}
 		time.Sleep(2 * time.Second)
-		if late := f.without(1, 13); len(late) > 0 {
+		if late := f.behind(1, 13); len(late) > 0 {
 			t.Fatalf("routers %v do not know all servers", late)
 		}
 	})
--- a/controller/updates/lists.go
+++ b/controller/updates/lists.go
@@ -19,59 +19,60 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// A router that knows nothing of a kind of objects, or is so far behind that the changes are not
-// held any more, reads all of them in pages. A page crosses a small link within a call's time,
-// however many objects there are, and a transfer that breaks off goes on at another router. As
+// A router that knows no objects of a kind, or is so far behind that the changes are no longer
+// retained, lists all of them in pages. A page crosses a small link within the timeout of a call,
+// however many objects there are, and an interrupted transfer is resumed from another router. As
 // with a list of the store, the changes after the first page's revision are read afterwards.
 
 const (
-	// pageMost is how many objects a page holds: some 25 KB compressed.
-	pageMost = 512
-	// maxPage bounds a page, in bytes.
-	maxPage = 4 << 20
-	// pageTimeout bounds the transfer of a page while the link is not full.
+	// pageSize is the maximum number of objects in a page: about 25 KB compressed.
+	pageSize = 512
+	// maxPageBytes limits the uncompressed size of a page.
+	maxPageBytes = 4 << 20
+	// pageTimeout bounds the transfer of a page while the link is not saturated.
 	pageTimeout = time.Second
-	// snapshotServes is how long the pages of a snapshot are reused: routers that start together
-	// ask within a second or two.
-	snapshotServes = 2 * time.Second
-	// resumeWithin is how old the last page of a transfer that broke off may be for it to go on.
-	resumeWithin = 10 * time.Second
+	// snapshotTTL is how long the pages of a snapshot are reused: routers that start together
+	// request them within a second or two.
+	snapshotTTL = 2 * time.Second
+	// resumeTTL is the maximum age of the last page of an interrupted transfer that can be resumed.
+	resumeTTL = 10 * time.Second
 )
 
-// Replica is a kind of objects that routers propagate.
+// Replica holds the objects of one kind that routers propagate.
 type Replica interface {
-	// Revision returns the store's revision up to which all changes are known; 0: none is.
+	// Revision returns the store revision up to which all changes are known; 0 if none is.
 	Revision() int64
-	// Since returns the changes after a revision, at most about so many; false: they are not
-	// held any more.
+	// Since returns approximately at most so many changes after a revision, or false if they
+	// are no longer retained.
 	Since(revision int64, most int) (changes changelog.Changes[changelog.Received], held bool)
-	// All returns all objects in the order of their keys, and the revision up to which all
-	// changes are in them.
+	// All returns all objects in the order of their keys, and the revision up to which they
+	// include all changes.
 	All() (all []changelog.Received, revision int64)
-	// TakeUpdate takes all changes up to a revision, and TakeListed all objects at one.
+	// TakeUpdate applies all changes up to a revision, and TakeListed a list of all objects at a
+	// revision.
 	TakeUpdate(changed []changelog.Received, revision int64)
 	TakeListed(all []changelog.Received, revision int64)
 }
 
-// snapshot holds all objects of a kind as they were at a time, in compressed pages.
+// snapshot holds all objects of a kind at one time, in compressed pages.
 type snapshot struct {
 	mu sync.Mutex
-	// entries are nil before the first request.
-	entries  []changelog.Received
-	revision int64
-	made     time.Time
-	// age is how old the entries were when the snapshot was made.
+	// entries is nil before the first request.
+	entries   []changelog.Received
+	revision  int64
+	createdAt time.Time
+	// age is the age of the entries when the snapshot was made.
 	age   time.Duration
 	pages map[int][]byte // by the index of the first entry
 }
 
-// refresh makes the snapshot anew if it has served its time.
+// refresh rebuilds the snapshot if it has expired.
 func (s *snapshot) refresh(r Replica, age time.Duration) {
-	if s.entries != nil && clock.Since(s.made) < snapshotServes && s.revision > 0 {
+	if s.entries != nil && clock.Since(s.createdAt) < snapshotTTL && s.revision > 0 {
 		return
 	}
 	s.entries, s.revision = r.All()
-	s.made, s.age, s.pages = clock.Now(), age, map[int][]byte{}
+	s.createdAt, s.age, s.pages = clock.Now(), age, map[int][]byte{}
 }
 
 // page returns the page after a key.
@@ -80,10 +81,10 @@
 	if found {
 		first++
 	}
-	end := min(first+pageMost, len(s.entries))
-	answer := &peer.ListAnswer{Revision: s.revision, SnapshotAge: clock.Since(s.made), Age: s.age + clock.Since(s.made), More: end < len(s.entries)}
-	text, packedBefore := s.pages[first]
-	if !packedBefore {
+	end := min(first+pageSize, len(s.entries))
+	answer := &peer.ListAnswer{Revision: s.revision, SnapshotAge: clock.Since(s.createdAt), Age: s.age + clock.Since(s.createdAt), More: end < len(s.entries)}
+	text, cached := s.pages[first]
+	if !cached {
 		var err error
 		if text, err = packPage(s.entries[first:end]); err != nil {
 			return nil, err
@@ -95,13 +96,14 @@
 }
 
 var (
-	// errNoList means that a router does not know all objects of a kind, or not the kind.
+	// errNoList means that a router does not know all objects of a kind, or does not propagate
+	// the kind.
 	errNoList = errors.New("no list of that kind is known")
-	// errListStuck is a list that promises more and goes no further.
-	errListStuck = errors.New("a list that does not come to its end")
+	// errEmptyPage means that a page announces more objects but holds none.
+	errEmptyPage = errors.New("page is empty although more objects are announced")
 )
 
-// replica returns the objects of a kind, if routers propagate them.
+// replica returns the replica of a kind, or false if routers do not propagate the kind.
 func (c *Controller) replica(kind peer.Kind) (Replica, bool) {
 	switch {
 	case kind == peer.KindServers:
@@ -113,7 +115,8 @@
 	}
 }
 
-// ageOf returns the age of what this router knows of a kind. That of routers is not bounded.
+// ageOf returns the age of this router's objects of a kind. The age of router registrations is
+// not bounded.
 func (c *Controller) ageOf(kind peer.Kind) time.Duration {
 	if kind == peer.KindServers {
 		return c.Ages().Servers
@@ -121,17 +124,17 @@
 	return 0
 }
 
-// noteListed notes that all objects of a kind were received as they were at a time.
+// noteListed records that all objects of a kind were received in their state at a time.
 func (c *Controller) noteListed(kind peer.Kind, asOf time.Time) {
 	if kind != peer.KindServers {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known = c.known.or(Timestamps{Servers: asOf})
+	c.known = c.known.latest(Timestamps{Servers: asOf})
 }
 
-// List answers another router that reads all objects of a kind.
+// List returns a page of all objects of a kind to another router.
 func (c *Controller) List(_ context.Context, req *peer.ListRequest) (*peer.ListAnswer, error) {
 	replica, ok := c.replica(req.Kind)
 	if !ok || replica.Revision() == 0 {
@@ -144,26 +147,26 @@
 	return s.page(req.After)
 }
 
-// transfer is a list that is being read.
+// transfer is the state of a list that is being read from other routers.
 type transfer struct {
-	begun, pageAt time.Time // of the transfer and of its last page
-	received      []changelog.Received
-	// revision is that of the first page, and asOf the time of its objects.
+	startedAt, pageAt time.Time // start of the transfer, and arrival of its last page
+	received          []changelog.Received
+	// revision is the revision of the first page, and asOf the time of its objects.
 	revision int64
 	asOf     time.Time
 	done     bool
 }
 
-// lists reads lists of other routers, one at a time.
-type lists struct {
+// listReader holds the state of reading lists from other routers, one at a time.
+type listReader struct {
 	reading atomic.Bool
 
 	mu        sync.Mutex
-	transfers map[peer.Kind]*transfer // that broke off
+	transfers map[peer.Kind]*transfer // unfinished
 }
 
-// readsList tells whether pages of a list are arriving.
-func (c *Controller) readsList() bool {
+// isReadingList reports whether pages of a list are arriving.
+func (c *Controller) isReadingList() bool {
 	if !c.lists.reading.Load() {
 		return false
 	}
@@ -177,16 +180,17 @@
 	return false
 }
 
-// readLists begins to read the lists that are due from another router, unless that is under way.
-func (c *Controller) readLists(ctx context.Context, id string, due []peer.Kind) {
-	if len(due) == 0 || !c.lists.reading.CompareAndSwap(false, true) {
+// readLists starts to read the lists of the given kinds from another router, unless lists are
+// already being read.
+func (c *Controller) readLists(ctx context.Context, id string, kinds []peer.Kind) {
+	if len(kinds) == 0 || !c.lists.reading.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer c.lists.reading.Store(false)
-		for _, kind := range due {
+		for _, kind := range kinds {
 			if err := c.readList(ctx, id, kind); err != nil {
-				c.Log.Info("list not read", zap.String("kind", string(kind)), zap.String("router", id), zap.Error(err))
+				c.Log.Info("failed to read list", zap.String("kind", string(kind)), zap.String("router", id), zap.Error(err))
 				c.tryNext()
 				return
 			}
@@ -212,17 +216,17 @@
 	replica.TakeListed(t.received, t.revision)
 	c.noteListed(kind, t.asOf)
 	c.Log.Info("list read", zap.String("kind", string(kind)), zap.String("router", id), zap.Int("objects", len(t.received)),
-		zap.Int64("revision", t.revision), zap.Duration("took_ms", clock.Since(t.begun)))
+		zap.Int64("revision", t.revision), zap.Duration("took_ms", clock.Since(t.startedAt)))
 	return nil
 }
 
-// resume returns the transfer of a kind that broke off lately, or a new one.
+// resume returns the recently interrupted transfer of a kind, or a new one.
 func (c *Controller) resume(kind peer.Kind) *transfer {
 	c.lists.mu.Lock()
 	defer c.lists.mu.Unlock()
 	t := c.lists.transfers[kind]
-	if t == nil || clock.Since(t.pageAt) > resumeWithin {
-		t = &transfer{begun: clock.Now(), pageAt: clock.Now()}
+	if t == nil || clock.Since(t.pageAt) > resumeTTL {
+		t = &transfer{startedAt: clock.Now(), pageAt: clock.Now()}
 		c.lists.transfers[kind] = t
 	}
 	return t
@@ -250,7 +254,7 @@
 		return err
 	}
 	if answer.More && len(entries) == 0 {
-		return errListStuck
+		return errEmptyPage
 	}
 	if t.revision == 0 {
 		t.revision = answer.Revision
@@ -270,7 +274,7 @@
 }
 
 func unpackPage(text []byte) ([]peer.Registration, error) {
-	text, err := packed.Unpack(text, maxPage)
+	text, err := packed.Unpack(text, maxPageBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/controller/updates/lists_test.go
+++ b/controller/updates/lists_test.go
@@ -15,8 +15,8 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// brokenCalls fail some pages of lists, and count the others.
-type brokenCalls struct {
+// failingCalls fails the requests for some pages of lists and counts the other pages.
+type failingCalls struct {
 	updates.Calls
 	fails   func(page int64) bool
 	asked   atomic.Int64
@@ -24,7 +24,7 @@
 	largest atomic.Int64
 }
 
-func (b *brokenCalls) List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error) {
+func (b *failingCalls) List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error) {
 	if b.fails(b.asked.Add(1)) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -37,8 +37,8 @@
 	return answer, err
 }
 
-// thousands returns registrations as servers write them.
-func thousands(n int) []store.Object {
+// manyRegistrations returns n registrations as servers write them.
+func manyRegistrations(n int) []store.Object {
 	list := make([]store.Object, 0, n)
 	for i := range n {
 		list = append(list, registration(fmt.Sprintf("i-%x-%05d", uint32(i)*2654435761, i), int64(i+1)))
@@ -46,9 +46,9 @@
 	return list
 }
 
-// Guards against a list of all servers of a large fleet that does not cross a small link within a
-// call's time, and is asked for anew each time that it does not: it comes in pages of a bounded
-// size, and one that breaks off goes on where it stopped.
+// TestLongListIsReadInPages guards against a list of all servers of a large fleet that does not
+// cross a small link within the timeout of a call and is requested again each time. The list comes
+// in pages of bounded size, and an interrupted transfer is resumed where it stopped.
 func TestLongListIsReadInPages(t *testing.T) {
 	const servers, pages, tolerated = 10000, 20, 30 << 10
 	for name, fails := range map[string]func(int64) bool{
@@ -59,8 +59,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPair()
-				p.theirs.Listed(thousands(servers), servers)
-				broken := &brokenCalls{Calls: p, fails: fails}
+				p.theirs.Listed(manyRegistrations(servers), servers)
+				broken := &failingCalls{Calls: p, fails: fails}
 				p.asking.Calls = broken
 				go p.asking.Run(t.Context())
 				for begun := time.Now(); !p.ours.Ready(); time.Sleep(10 * time.Millisecond) {
@@ -82,14 +82,15 @@
 	}
 }
 
-// Changes while a list is being read are not lost, whichever page they would have been in.
+// TestChangesDuringATransferAreReadAfterIt checks that changes made while a list is being read are
+// not lost, whichever page they would have been in.
 func TestChangesDuringATransferAreReadAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const servers = 3000
 		p := newPair()
-		all := thousands(servers)
+		all := manyRegistrations(servers)
 		p.theirs.Listed(all, servers)
-		slow := &brokenCalls{Calls: p, fails: func(page int64) bool {
+		slow := &failingCalls{Calls: p, fails: func(page int64) bool {
 			revision := servers + 10*page
 			gone, left := all[page].Key, all[servers-int(page)].Key
 			p.theirs.Changed([]store.Object{{Key: gone, Version: revision, Deleted: true}, {Key: left, Version: revision + 1, Deleted: true}, registration(fmt.Sprint("new-", page), revision+2)})
@@ -113,9 +114,10 @@
 	})
 }
 
-// A registration whose end a list shows is gone for those too that know a later version than the
-// router that read the list: renewals are not propagated.
-func TestEndShownByAListReachesThoseWithALaterVersion(t *testing.T) {
+// TestListRemovesRegistrationsOfLaterVersions checks that a registration that is missing from a
+// list is removed also by a router that knows a later version of it than the router that read the
+// list: renewals are not propagated.
+func TestListRemovesRegistrationsOfLaterVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1), registration("b", 2)}, 10)
@@ -124,43 +126,43 @@
 		go p.asking.Run(t.Context())
 		time.Sleep(2 * time.Second)
 		if p.ours.TakesWork(placement.Incarnation{ID: "b"}) {
-			t.Error("a server that is gone is in use for good")
+			t.Error("a deleted server stays in use")
 		}
 		if !p.ours.TakesWork(placement.Incarnation{ID: "a"}) {
-			t.Error("a server that is registered is not in use")
+			t.Error("a registered server is not in use")
 		}
 	})
 }
 
-// Lists that claim the impossible change nothing that is known.
+// TestBadListsChangeNothing checks that invalid lists leave the known state unchanged.
 func TestBadListsChangeNothing(t *testing.T) {
 	for name, answer := range map[string]*peer.ListAnswer{
 		"not compressed":           {Revision: 50, Packed: []byte("x")},
-		"promises more and has no": {Revision: 50, Packed: packedNothing, More: true},
+		"promises more and has no": {Revision: 50, Packed: packedEmptyList, More: true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPair()
 			p.theirs.Listed([]store.Object{registration("a", 1)}, 60)
 			p.ours.Listed([]store.Object{registration("b", 1)}, 30)
-			p.asking.Calls = answering{p, answer}
+			p.asking.Calls = fixedList{p, answer}
 			go p.asking.Run(t.Context())
 			time.Sleep(3 * time.Second)
 			if !p.ours.TakesWork(placement.Incarnation{ID: "b"}) || p.ours.Revision() != 30 {
-				t.Errorf("%s: took it, at revision %d", name, p.ours.Revision())
+				t.Errorf("%s: the list was applied, at revision %d", name, p.ours.Revision())
 			}
 		})
 	}
 }
 
-// packedNothing is an empty list, compressed.
-var packedNothing, _ = packed.Pack([]byte{0x90})
+// packedEmptyList is an empty list, compressed.
+var packedEmptyList, _ = packed.Pack([]byte{0x90})
 
-// answering answers each request for a page alike.
-type answering struct {
+// fixedList returns the same answer to each request for a page.
+type fixedList struct {
 	updates.Calls
 	answer *peer.ListAnswer
 }
 
-func (a answering) List(context.Context, string, *peer.ListRequest) (*peer.ListAnswer, error) {
+func (a fixedList) List(context.Context, string, *peer.ListRequest) (*peer.ListAnswer, error) {
 	return a.answer, nil
 }
--- a/controller/updates/model_test.go
+++ b/controller/updates/model_test.go
@@ -22,9 +22,10 @@
 	"github.com/gaplink/gaplink/wakeups"
 )
 
-// This is the model of a whole fleet that starts, rests and follows changes, in virtual time: the
-// controllers of membership, updates and servers are those of the product; the store answers in
-// some milliseconds with pages of 500, and servers renew their registrations. For large fleets:
+// This file models a whole fleet in virtual time: its start, its idle state and the propagation of
+// changes. The controllers of membership, updates and servers are the production code; the store
+// answers within some milliseconds in pages of 500, and servers renew their registrations. For
+// large fleets:
 //
 //	go test ./controller/updates -run TestFleetStartsRestsAndFollows -v -fleet 984
 var fleetSize = flag.Int("fleet", 60, "routers of the modelled fleet, each with ten backend servers")
@@ -34,22 +35,22 @@
 	modelBound = 5 * time.Second
 	// serversEach is how many backend servers there are for each router.
 	serversEach = 10
-	// storePage is how many objects the store puts into one answer, and storeTakes how long that
-	// takes.
+	// storePage is how many objects the store returns in one answer, and storeTakes the latency of
+	// an answer.
 	storePage  = 500
 	storeTakes = 6 * time.Millisecond
-	// listTakes is how long the store's link is occupied by a list of all servers: one that each
-	// router asked for would take minutes.
+	// listTakes is how long a list of all servers occupies the store's link: lists for all routers
+	// would take minutes.
 	listTakes = 300 * time.Millisecond
-	// renewEvery is how often a backend server writes its registration.
+	// renewEvery is how often a backend server renews its registration.
 	renewEvery = 3 * time.Second
 )
 
-// pagedStore is a store whose lists come in pages, each of which is a call.
-type pagedStore struct{ view }
+// pagedStore is a store that returns lists in pages, each of which counts as a call.
+type pagedStore struct{ routerStore }
 
 func (s pagedStore) List(ctx context.Context, kind string) ([]store.Object, int64, error) {
-	all, revision, err := s.view.List(ctx, kind)
+	all, revision, err := s.routerStore.List(ctx, kind)
 	pages := 1 + len(all)/storePage
 	for range pages - 1 {
 		s.count()
@@ -65,8 +66,8 @@
 	return all, revision, err
 }
 
-// occupyLink reserves the store's link for a time after what it carries already, and returns when
-// that is over.
+// occupyLink reserves the store's link for a time after the transfers already queued, and returns
+// the time until the end of the reservation.
 func (f *fleet) occupyLink(takes time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +83,7 @@
 	return s.List(ctx, kind)
 }
 
-// modelMember is a router of the model; one in twenty has a large link, in every failure domain.
+// modelMember returns a router of the model. One in twenty has a large link, in every failure domain.
 func modelMember(n int) membership.Member {
 	m := membership.Member{
 		ID: fmt.Sprintf("r%04d", n), Kind: "router", Addr: fmt.Sprintf("10.1.%d.%d:1", n/250, n%250),
@@ -95,7 +96,7 @@
 }
 
 // Hello implements roster.Calls.
-func (c calls) Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
+func (c fleetCalls) Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
 	r, err := c.at(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -105,18 +106,18 @@
 }
 
 // startModel starts a router of the model.
-func (f *fleet) startModel(n int, first bool) *one {
+func (f *fleet) startModel(n int, first bool) *testRouter {
 	self := modelMember(n)
 	seeds := []string{modelMember(11).Addr, modelMember(12).Addr, modelMember(13).Addr}
-	r := f.build(n, self, func(r *one) *roster.Controller {
+	r := f.build(n, self, func(r *testRouter) *roster.Controller {
 		return roster.New(roster.Options{
 			Self:       peer.Router{ID: self.ID, Addr: self.Addr, Domain: self.Domain, Incarnation: self.ID + "/1", LinkMbps: self.LinkMbps},
 			Seeds:      func() []string { return seeds },
 			Contacts:   func(domain string) []string { return r.updates.ContactIDs(domain) },
 			FirstStart: first,
-			Store:      pagedStore{view{f.objects, n, f}},
+			Store:      pagedStore{routerStore{f.objects, n, f}},
 			Members:    r.members,
-			Calls:      calls{f},
+			Calls:      fleetCalls{f},
 			Log:        zap.NewNop(),
 		})
 	})
@@ -131,7 +132,7 @@
 	return r
 }
 
-// renew writes registrations anew until the context ends.
+// renew renews the registrations of servers until the context ends.
 func (f *fleet) renew(ctx context.Context, servers int) {
 	for ctx.Err() == nil {
 		for n := range servers {
@@ -146,7 +147,7 @@
 	}
 }
 
-// renewed returns a registration as its server writes it next.
+// renewed returns a registration after its next renewal.
 func renewed(value []byte) []byte {
 	var s placement.Server
 	if json.Unmarshal(value, &s) != nil {
@@ -160,20 +161,21 @@
 	return text
 }
 
-// figures are what the fleet has done.
-type figures struct{ calls, questions, pages, pageBytes, hellos int }
+// totals are the counters of a fleet.
+type totals struct{ calls, requests, pages, pageBytes, hellos int }
 
-func (f *fleet) figures() figures {
+func (f *fleet) totals() totals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return figures{f.calls, f.questions, f.pages, f.pageBytes, f.hellos}
+	return totals{f.calls, f.requests, f.pages, f.pageBytes, f.hellos}
 }
 
-// untilAll waits until all routers know a configuration and so many servers.
-func (f *fleet) untilAll(t *testing.T, version int64, servers int, within time.Duration) time.Duration {
+// waitForAll waits until all routers have a configuration version and a number of servers, and
+// returns how long that took.
+func (f *fleet) waitForAll(t *testing.T, version int64, servers int, within time.Duration) time.Duration {
 	t.Helper()
 	for begun := time.Now(); ; time.Sleep(50 * time.Millisecond) {
-		late := f.without(version, servers)
+		late := f.behind(version, servers)
 		if len(late) == 0 {
 			return time.Since(begun)
 		}
@@ -183,8 +185,9 @@
 	}
 }
 
-// TestFleetStartsRestsAndFollows checks what must not grow with the fleet: the calls of the store
-// at a start and at rest, and each router's questions; and that a change is followed in time.
+// TestFleetStartsRestsAndFollows checks the values that must not grow with the fleet, which are the
+// store calls at startup and when idle and each router's requests, and that a change propagates in
+// time.
 func TestFleetStartsRestsAndFollows(t *testing.T) {
 	size := *fleetSize
 	for _, first := range []bool{true, false} {
@@ -205,10 +208,10 @@
 			for n := range size {
 				f.startModel(n, first)
 			}
-			took := f.untilAll(t, 1, servers, 8*time.Second)
-			start := f.figures()
-			t.Logf("first start %v: all know all after %v; %d store calls, %d introductions, %d questions, %d pages of %d KB", first, took,
-				start.calls, start.hellos, start.questions, start.pages, start.pageBytes/1024)
+			took := f.waitForAll(t, 1, servers, 8*time.Second)
+			start := f.totals()
+			t.Logf("first start %v: all routers up to date after %v; %d store calls, %d introductions, %d requests, %d pages of %d KB", first, took,
+				start.calls, start.hellos, start.requests, start.pages, start.pageBytes/1024)
 			lists := 2*(1+servers/storePage) + 5*(1+size/storePage)
 			if most := lists + size + 200; start.calls > most {
 				t.Errorf("%d calls of the store, %d are expected", start.calls, most)
@@ -216,10 +219,10 @@
 			if f.lists > 4 {
 				t.Errorf("%d lists of all servers were read from the store", f.lists)
 			}
-			f.rest(t, size)
-			f.follow(t, servers)
-			f.flood(t, servers-servers/20)
-			f.turn(t)
+			f.checkIdle(t, size)
+			f.checkPropagation(t, servers)
+			f.checkBurst(t, servers-servers/20)
+			f.checkRelayLoss(t)
 		})
 		runtime.GC()
 	}
@@ -232,26 +235,26 @@
 	return all
 }
 
-// rest checks what a fleet does while nothing happens.
-func (f *fleet) rest(t *testing.T, size int) {
+// checkIdle checks the load of a fleet without changes.
+func (f *fleet) checkIdle(t *testing.T, size int) {
 	t.Helper()
 	const span = 10 * time.Second
 	time.Sleep(3 * time.Second)
-	before, woken := f.figures(), wakeups.Counts()
+	before, woken := f.totals(), wakeups.Counts()
 	time.Sleep(span)
-	now := f.figures()
+	now := f.totals()
 	perRouter := func(n int64) float64 { return float64(n) / span.Seconds() / float64(size) }
 	for purpose, n := range wakeups.Counts() {
-		t.Logf("woken %.2f times a second for %v", perRouter(n-woken[purpose]), purpose)
+		t.Logf("%.2f wakeups a second for %v", perRouter(n-woken[purpose]), purpose)
 	}
 	if all := perRouter(sum(wakeups.Counts()) - sum(woken)); all >= 10 {
 		t.Errorf("a router wakes %.1f times a second", all)
 	}
-	each := float64(now.questions-before.questions) / span.Seconds() / float64(size)
+	each := float64(now.requests-before.requests) / span.Seconds() / float64(size)
 	calls := float64(now.calls-before.calls) / span.Seconds()
-	t.Logf("at rest: %.1f store calls a second, %.2f questions a second and router", calls, each)
+	t.Logf("idle: %.1f store calls a second, %.2f requests a second and router", calls, each)
 	if each > 2 {
-		t.Errorf("%.2f questions a second and router", each)
+		t.Errorf("%.2f requests a second and router", each)
 	}
 	renewals := float64(size*serversEach) / renewEvery.Seconds()
 	if most := 4 + 2*(7+renewals/300); calls > most { // by the two watchers
@@ -262,8 +265,8 @@
 	}
 }
 
-// follow checks that servers that leave and a configuration reach all routers in time.
-func (f *fleet) follow(t *testing.T, servers int) {
+// checkPropagation checks that a configuration and the removal of servers reach all routers in time.
+func (f *fleet) checkPropagation(t *testing.T, servers int) {
 	t.Helper()
 	f.configure(t, 2)
 	for n := range servers / 20 {
@@ -272,12 +275,12 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("changes at all routers after %v", f.untilAll(t, 2, servers-servers/20, modelBound))
+	t.Logf("changes at all routers after %v", f.waitForAll(t, 2, servers-servers/20, modelBound))
 }
 
-// flood has many servers register within a second: no answer is too large for a small link, and
-// all routers follow.
-func (f *fleet) flood(t *testing.T, servers int) {
+// checkBurst registers many servers within a second and checks that no answer is too large for a
+// small link and that all routers learn of the servers in time.
+func (f *fleet) checkBurst(t *testing.T, servers int) {
 	t.Helper()
 	const parts, answerMost = 10, 64 << 10
 	more := servers / 2
@@ -287,7 +290,7 @@
 			time.Sleep(time.Second / parts)
 		}
 	}
-	took := f.untilAll(t, 2, servers+more, modelBound)
+	took := f.waitForAll(t, 2, servers+more, modelBound)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.Logf("%d new servers at all routers after %v, in answers of %d bytes at the most", more, took, f.largest)
@@ -296,10 +299,11 @@
 	}
 }
 
-// turn has every router lose the relay that updates it: no list is read for that.
-func (f *fleet) turn(t *testing.T) {
+// checkRelayLoss stops a relay and checks that the routers that it updated read no list because of
+// that.
+func (f *fleet) checkRelayLoss(t *testing.T) {
 	t.Helper()
-	before := f.figures()
+	before := f.totals()
 	relay := f.all[0].updates.ContactIDs(modelMember(1).Domain)[0]
 	for _, r := range f.all {
 		if r.members.Self().ID == relay {
@@ -310,7 +314,7 @@
 		}
 	}
 	time.Sleep(3 * time.Second)
-	if now := f.figures(); now.pages > before.pages {
+	if now := f.totals(); now.pages > before.pages {
 		t.Errorf("%d pages of lists were read after a relay was lost", now.pages-before.pages)
 	}
 }
--- a/controller/updates/pair_test.go
+++ b/controller/updates/pair_test.go
@@ -24,18 +24,18 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// pair is a router that asks another one.
+// pair is a router that requests updates from another one.
 type pair struct {
 	asked, asking *updates.Controller
-	// of the asked and of the asking router
+	// theirs is the registry of the asked router, and ours that of the asking one.
 	theirs, ours *registry.Controller
-	// fresh tells that the asking router follows the store itself.
+	// fresh is set while the asking router follows the store itself.
 	fresh bool
-	// ages of the asked router's state.
+	// ages returns the timestamps of the asked router's state.
 	ages func() updates.Timestamps
-	// stuck tells that no configuration arrives.
+	// stuck is set while transfers of the configuration hang.
 	stuck bool
-	// theirConfigs and ourConfigs are what both have in force.
+	// theirConfigs and ourConfigs hold the configurations of both routers.
 	theirConfigs, ourConfigs *configs.Controller
 }
 
@@ -67,7 +67,7 @@
 		return updates.New(updates.Options{
 			Configs: held,
 			Servers: servers, Members: known, Calls: p,
-			Verdicts:    verdicts.New(verdicts.Options{Checker: gone{}, Servers: allWork{}, Log: zap.NewNop()}),
+			Verdicts:    verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Log: zap.NewNop()}),
 			Limits:      limits.New(limits.Options{Log: zap.NewNop()}),
 			Evacuations: evacuations.New(evacuations.Options{Log: zap.NewNop()}),
 			Self:        member(self).ID + "/1", Domain: member(self).Domain,
@@ -98,11 +98,11 @@
 	return store.Object{Key: "servers/" + id, Version: version, Value: value}
 }
 
-// TestListThatIsNewerThanTheStoresLastAnswerIsTaken: a router that follows the store itself
-// knows all registrations up to the store's last answer. A list of another router that is
-// newer than that answer holds what the store would send next; if the router is idle by then,
-// nobody sends it any more, and a server that left stays in use for good.
-func TestListThatIsNewerThanTheStoresLastAnswerIsTaken(t *testing.T) {
+// TestListNewerThanTheStoresLastAnswerIsApplied guards against ignoring another router's list while
+// this router follows the store. A list newer than the store's last answer holds changes that the
+// store would send next. If this router then becomes idle, it receives them from nobody, and a
+// server that has left stays in use forever.
+func TestListNewerThanTheStoresLastAnswerIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1)}, 9)
@@ -113,14 +113,14 @@
 		p.fresh = false
 		time.Sleep(2 * time.Second)
 		if p.ours.TakesWork(placement.Incarnation{ID: "b"}) {
-			t.Error("a server that left between two answers of the store is in use for good")
+			t.Error("a server that left between two answers of the store stays in use")
 		}
 	})
 }
 
-// TestListThatTheStoreHasSentAlreadyChangesNothing: a list that was packed before the
-// store's last answer.
-func TestListThatTheStoreHasSentAlreadyChangesNothing(t *testing.T) {
+// TestListOlderThanTheStoresLastAnswerChangesNothing checks that a list made before the store's last
+// answer removes no server.
+func TestListOlderThanTheStoresLastAnswerChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1)}, 9)
@@ -134,10 +134,11 @@
 	})
 }
 
-// TestUpdatesAreAsOldAsTheStoresAnswer, and not as the answer of the router that passes them on:
-// one whose watch stalls counts its state as current for two seconds more, and those that
-// asked it went by them for another second. They look for the store in time now.
-func TestUpdatesAreAsOldAsTheStoresAnswer(t *testing.T) {
+// TestUpdateAgeCountsFromTheStoresAnswer checks that the age of updates counts from the store's
+// answer, not from that of the relaying router. A router whose watch stalls regards its state as
+// current for two seconds more, and the routers that it updates relied on that state for another
+// second before they queried the store.
+func TestUpdateAgeCountsFromTheStoresAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1)}, 9)
@@ -151,15 +152,15 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		if p.asking.UpToDate() {
-			t.Errorf("goes by updates over %v old that it received just now", limit)
+			t.Errorf("relies on updates over %v old that it has just received", limit)
 		}
 		if age := p.asking.Ages().Servers; age < limit {
-			t.Errorf("takes them for %v old", age)
+			t.Errorf("regards the updates as %v old", age)
 		}
 	})
 }
 
-// TestUnknownKindsAreStale: updates of servers say nothing of the configuration.
+// TestUnknownKindsAreStale checks that updates of servers do not make the configuration current.
 func TestUnknownKindsAreStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
@@ -168,14 +169,15 @@
 		go p.asking.Run(t.Context())
 		time.Sleep(time.Second)
 		if p.asking.UpToDate() {
-			t.Error("goes by updates of a router without a configuration")
+			t.Error("relies on updates of a router without a configuration")
 		}
 	})
 }
 
-// TestConfigurationThatDoesNotArriveIsLookedForAtTheStore: the router that tells of it cannot
-// bring it across a full link, and each failed fetching is followed by the next one.
-func TestConfigurationThatDoesNotArriveIsLookedForAtTheStore(t *testing.T) {
+// TestConfigurationThatDoesNotArriveMakesTheRouterQueryTheStore simulates a router that announces a
+// configuration but cannot transfer it over a saturated link, so that each failed fetch is followed
+// by the next one.
+func TestConfigurationThatDoesNotArriveMakesTheRouterQueryTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1)}, 9)
@@ -190,6 +192,6 @@
 				return
 			}
 		}
-		t.Errorf("goes by others after %v, with a configuration %v old that they cannot bring", parts.Sum(), p.asking.Ages().Config)
+		t.Errorf("relies on other routers after %v, with a configuration %v old that they fail to transfer", parts.Sum(), p.asking.Ages().Config)
 	})
 }
--- a/controller/updates/receive.go
+++ b/controller/updates/receive.go
@@ -10,65 +10,65 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// receiveReports takes the reports on requests that crash servers and on rate limits of an
-// answer, which may hold them without an update from the store.
+// receiveReports merges the reports on rate limits and on requests that crash servers. An answer
+// may hold them without an update from the store.
 func (c *Controller) receiveReports(answer *peer.UpdatesAnswer) {
 	c.Verdicts.Receive(answer.Verdicts)
 	c.Limits.Receive(answer.Limits)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reportSource, c.verdictSeq, c.limitSeq = "", answer.VerdictSeq, answer.LimitSeq
-	if answer.VerdictSeq > 0 || answer.LimitSeq > 0 { // empty logs need not be named
+	if answer.VerdictSeq > 0 || answer.LimitSeq > 0 { // the source of empty logs is not needed
 		c.reportSource = answer.Source
 	}
 }
 
-// tryNext turns to the next candidate.
+// tryNext switches to the next candidate.
 func (c *Controller) tryNext() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
+	c.nextIndex++
 	c.relay = ""
-	c.lacks = false
-	c.logged = false
+	c.moreChanges = false
+	c.relayLogged = false
 }
 
-// askNext sends the next request to a router from which another one has its updates.
-func (c *Controller) askNext(id string) {
+// switchTo directs the next request to the router from which the last answer originates.
+func (c *Controller) switchTo(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.relay = id
 }
 
-// noteStoreLost notes that the store does not answer a watcher.
+// noteStoreLost records that the store does not answer a watcher.
 func (c *Controller) noteStoreLost() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lostAt = clock.Now()
 }
 
-// receive takes the answer of a router to a request sent at a time. A router that updates others
-// accepts only what the answering router has from the store itself.
+// receive handles a router's answer to a request sent at a time. A router that updates others
+// accepts only updates that the answering router received from the store itself.
 func (c *Controller) receive(ctx context.Context, id string, answer *peer.UpdatesAnswer, sent time.Time) {
-	c.notePromise(id, answer)
+	c.noteSyncing(id, answer)
 	newer := answer.Config > c.Configs.Version()
 	if newer {
 		c.fetchOnce(ctx, id)
 	}
-	var due []peer.Kind
-	defer func() { c.readLists(ctx, id, due) }()
-	routers, err := c.take(peer.KindRouters, answer.Routers)
+	var kindsToList []peer.Kind
+	defer func() { c.readLists(ctx, id, kindsToList) }()
+	routers, err := c.applyChanges(peer.KindRouters, answer.Routers)
 	if err != nil {
-		c.unreadable(id, err)
+		c.rejectChanges(id, err)
 		return
 	}
-	if routers == takenNone {
-		due = append(due, peer.KindRouters)
+	if routers == listRequired {
+		kindsToList = append(kindsToList, peer.KindRouters)
 	}
 	accepted := answer.Direct || !c.UpdatesOthers()
 	switch {
 	case answer.Current && !accepted && answer.Origin != c.Members.Self().ID:
-		c.askNext(answer.Origin)
+		c.switchTo(answer.Origin)
 		return
 	case !answer.Current || !accepted:
 		if answer.Lost && accepted {
@@ -83,43 +83,45 @@
 	c.Evacuations.Take(answer.Evacuated, answer.EvacuatedAt, id)
 	received := timestampsOf(answer.Ages, sent)
 	if newer {
-		received.Config = time.Time{} // it is being fetched
+		received.Config = time.Time{} // still being fetched
 	}
-	servers, err := c.take(peer.KindServers, answer.Servers)
+	servers, err := c.applyChanges(peer.KindServers, answer.Servers)
 	if err != nil {
-		c.unreadable(id, err)
+		c.rejectChanges(id, err)
 		return
 	}
-	if servers == takenNone {
-		due = append(due, peer.KindServers)
+	if servers == listRequired {
+		kindsToList = append(kindsToList, peer.KindServers)
 	}
-	if servers != takenAll {
-		received.Servers = time.Time{} // not all changes have come
+	if servers != appliedAll {
+		received.Servers = time.Time{} // not all changes have been received
 	}
-	c.noteUpdate(id, answer, received, servers == takenSome)
+	c.noteUpdate(id, answer, received, servers == appliedPart)
 }
 
-// unreadable turns to another router than one whose changes cannot be read.
-func (c *Controller) unreadable(id string, cause error) {
-	c.Log.Error("changes are not readable", zap.String("router", id), zap.Error(cause))
+// rejectChanges logs that a router's changes cannot be decoded and switches to the next
+// candidate.
+func (c *Controller) rejectChanges(id string, cause error) {
+	c.Log.Error("failed to decode changes", zap.String("router", id), zap.Error(cause))
 	c.tryNext()
 }
 
-// noteUpdate notes an update, up to when all changes have come with it, and whether some lack.
-func (c *Controller) noteUpdate(id string, answer *peer.UpdatesAnswer, received Timestamps, lacks bool) {
+// noteUpdate records an update, the times up to which it completes the changes, and whether more
+// changes are to follow.
+func (c *Controller) noteUpdate(id string, answer *peer.UpdatesAnswer, received Timestamps, moreChanges bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.updatedAt, c.relay, c.origin = clock.Now(), id, answer.Origin
-	c.known = c.known.or(received)
-	c.lacks = lacks
-	if !c.logged {
-		c.logged = true
+	c.known = c.known.latest(received)
+	c.moreChanges = moreChanges
+	if !c.relayLogged {
+		c.relayLogged = true
 		c.Log.Info("receiving updates from another router", zap.String("router", id), zap.String("origin", answer.Origin), zap.Int64("revision", answer.Servers.UpTo))
 	}
 }
 
-// fetchOnce fetches the configuration of another router in the background, unless a transfer is
-// under way.
+// fetchOnce fetches the configuration from another router in the background, unless a transfer is
+// in progress.
 func (c *Controller) fetchOnce(ctx context.Context, id string) {
 	if !c.fetching.CompareAndSwap(false, true) {
 		return
--- a/controller/updates/relays_test.go
+++ b/controller/updates/relays_test.go
@@ -10,7 +10,8 @@
 	"github.com/gaplink/gaplink/membership"
 )
 
-// A relay updates a bounded number of routers, whatever the size of the fleet.
+// TestRelaysGrowWithTheirDomain checks that the number of routers for each relay is bounded,
+// whatever the size of the fleet.
 func TestRelaysGrowWithTheirDomain(t *testing.T) {
 	for size, relays := range map[int]int{20: 2, 300: 2, 984: 2, 2000: 4, 5000: 8} {
 		known := members.New(modelMember(0), nil, 0, zap.NewNop())
--- a/controller/updates/roles.go
+++ b/controller/updates/roles.go
@@ -8,19 +8,19 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Role returns whether this router follows the store: all do in a small fleet, and in a large one
-// the watchers and those that receive no updates. Of several fallback watchers that the store
-// answers the first in rank goes on; without an order all would stop as soon as they update each
-// other, and no router would watch the store.
+// Role returns this router's role towards the store. In a small fleet all routers watch it; in a
+// large one only the watchers do, and routers that receive no updates fall back to the store. Of
+// several fallback watchers that the store answers, the first in rank continues; without a
+// ranking all would stop as soon as they update each other, and no router would watch the store.
 func (c *Controller) Role() follow.Role {
 	if !c.Large() || c.isWatcher() {
 		return follow.Watches
 	}
-	if c.readsList() || c.expectsList() {
-		return follow.Idle // the store would send nothing else
+	if c.isReadingList() || c.awaitsServers() {
+		return follow.Idle // the store would send the same list
 	}
 	if c.IsRelay() && !c.RecentlyUpdated() {
-		return follow.Fallback // others wait for it, also those that the store turns away
+		return follow.Fallback // others wait for its updates, also those that the store refuses
 	}
 	origin, upToDate := c.updateOrigin()
 	if !upToDate || c.Fresh() && c.outranks(origin) {
@@ -29,20 +29,20 @@
 	return follow.Idle
 }
 
-// expectsList tells whether this router has started and those that are to update it are about to
-// know the servers.
-func (c *Controller) expectsList() bool {
+// awaitsServers reports whether this router has just started and the routers that update it are
+// still receiving the list of servers.
+func (c *Controller) awaitsServers() bool {
 	if c.Servers.Ready() {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return clock.Since(c.promisedAt) <= promiseHolds && clock.Since(c.waitingSince) <= waitLongest
+	return clock.Since(c.syncingAt) <= syncingTTL && clock.Since(c.waitingSince) <= maxSyncWait
 }
 
-// notePromise notes the answer of a router to one that has started. A relay waits for watchers
-// alone, since relays wait for each other.
-func (c *Controller) notePromise(id string, answer *peer.UpdatesAnswer) {
+// noteSyncing records, while this router starts, that the answering router does not know all
+// servers yet. A relay waits only for watchers; otherwise relays would wait for each other.
+func (c *Controller) noteSyncing(id string, answer *peer.UpdatesAnswer) {
 	if answer.Current || answer.Lost || c.Servers.Ready() {
 		return
 	}
@@ -55,14 +55,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.promisedAt = clock.Now()
+	c.syncingAt = clock.Now()
 	if c.waitingSince.IsZero() {
-		c.waitingSince = c.promisedAt
+		c.waitingSince = c.syncingAt
 	}
 }
 
-// RosterRole returns whether this router follows the registrations of routers: the watchers of a
-// large fleet do. In a small one routers greet each other.
+// RosterRole returns the role for the registrations of routers: the watchers of a large fleet
+// watch them. In a small fleet routers introduce themselves to each other.
 func (c *Controller) RosterRole() follow.Role {
 	if c.Large() && c.isWatcher() {
 		return follow.Watches
@@ -70,7 +70,8 @@
 	return follow.Idle
 }
 
-// outranks tells whether this router ranks before another one, or that one does not answer.
+// outranks reports whether this router ranks before another one, or the other is suspected to
+// have failed.
 func (c *Controller) outranks(other string) bool {
 	self := c.Members.Self().ID
 	return self == other || c.Members.Suspected(clock.Now(), other) || c.Members.Outranks(watchRole, self, other)
@@ -80,13 +81,13 @@
 	return slices.Contains(c.watchers(), c.Members.Self().ID)
 }
 
-// IsRelay tells whether this router relays updates to others in a large fleet.
+// IsRelay reports whether this router relays updates to others in a large fleet.
 func (c *Controller) IsRelay() bool {
 	return slices.Contains(c.relaysIn(c.Domain), c.Members.Self().ID)
 }
 
-// ContactIDs returns the routers from which routers of a failure domain get updates in a large
-// fleet, those of that domain first.
+// ContactIDs returns the routers that update the routers of a failure domain in a large fleet,
+// starting with those of that domain.
 func (c *Controller) ContactIDs(domain string) []string {
 	ids := c.relaysIn(domain)
 	for _, id := range c.RelayIDs() {
@@ -111,12 +112,13 @@
 
 // relaysIn returns the relays of a failure domain.
 func (c *Controller) relaysIn(domain string) []string {
-	relays := max(relaysLeast, (c.Members.DomainSize(domain)+followersMost-1)/followersMost)
+	relays := max(minRelays, (c.Members.DomainSize(domain)+routersPerRelay-1)/routersPerRelay)
 	return c.Members.FirstIn(clock.Now(), watchRole, domain, relays)
 }
 
-// candidates returns the routers to ask, the best first: all others in a small fleet. In a large
-// one relays ask the watchers, which ask each other, and the others ask the relays.
+// candidates returns the routers to query, the preferred ones first: all others in a small fleet.
+// In a large fleet relays query the watchers, which query each other, and other routers query the
+// relays.
 func (c *Controller) candidates() []string {
 	if !c.Large() {
 		return c.Members.Others(clock.Now())
@@ -128,12 +130,12 @@
 	return slices.DeleteFunc(ids, func(id string) bool { return id == c.Members.Self().ID })
 }
 
-// UpdatesOthers tells whether other routers accept updates from this one.
+// UpdatesOthers reports whether other routers accept updates from this one.
 func (c *Controller) UpdatesOthers() bool { return !c.Large() || c.IsRelay() || c.isWatcher() }
 
 // watchers returns the routers that watch the store for a large fleet.
 func (c *Controller) watchers() []string {
-	return c.Members.Largest(clock.Now(), watchRole, watchers)
+	return c.Members.Largest(clock.Now(), watchRole, watcherCount)
 }
 
 // relays returns the relays of all failure domains, those of this router's domain first.
--- a/controller/updates/rolewatch.go
+++ b/controller/updates/rolewatch.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// checkRoleEvery is how often a router checks its role while it may change at any time, and
-	// checkIdleEvery how often at least one does whose updates are far from stale: another role
-	// is then due only where a router with a better rank stops answering.
-	checkRoleEvery = 100 * time.Millisecond
-	checkIdleEvery = 500 * time.Millisecond
+	// roleCheckInterval is how often a router checks its role while the role may change at any
+	// time. maxRoleCheckInterval is the longest interval, of a router whose updates are far from
+	// stale: its role then changes only if a router with a better rank stops answering.
+	roleCheckInterval    = 100 * time.Millisecond
+	maxRoleCheckInterval = 500 * time.Millisecond
 )
 
-// roleWatch wakes those that wait for a role other than Idle.
-type roleWatch struct {
+// roleNotifier notifies callers that wait for a role other than Idle.
+type roleNotifier struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// RoleChanged returns a channel that is closed when the role is checked next and is not Idle.
+// RoleChanged returns a channel that is closed at the next check that finds a role other than
+// Idle.
 func (c *Controller) RoleChanged() <-chan struct{} {
 	c.role.mu.Lock()
 	defer c.role.mu.Unlock()
@@ -36,7 +37,7 @@
 	return c.role.changed
 }
 
-func (c *Controller) announceRole() {
+func (c *Controller) notifyRole() {
 	c.role.mu.Lock()
 	defer c.role.mu.Unlock()
 	if c.role.changed != nil {
@@ -45,36 +46,36 @@
 	}
 }
 
-// watchRole wakes those that wait for a role until the context ends.
-func (c *Controller) watchRole(ctx context.Context) {
+// checkRoles checks the role periodically and notifies waiting callers until the context ends.
+func (c *Controller) checkRoles(ctx context.Context) {
 	for ctx.Err() == nil {
 		wakeups.Note(wakeups.Role)
 		role := c.Role()
 		if role != follow.Idle {
-			c.announceRole() // at each check: whoever waits has seen another role since
+			c.notifyRole() // at each check: a waiting caller may have seen Idle since the last one
 		}
 		_ = wait.For(ctx, c.nextRoleCheck(role))
 	}
 }
 
-// nextRoleCheck returns the time until the role is to be checked again.
+// nextRoleCheck returns the time until the next check of the role.
 func (c *Controller) nextRoleCheck(role follow.Role) time.Duration {
 	if role == follow.Watches {
-		return checkIdleEvery
+		return maxRoleCheckInterval
 	}
 	if role == follow.Fallback {
-		return checkRoleEvery
+		return roleCheckInterval
 	}
-	return min(max(c.untilStale(), checkRoleEvery), checkIdleEvery)
+	return min(max(c.untilStale(), roleCheckInterval), maxRoleCheckInterval)
 }
 
-// untilStale returns the time until the updates of other routers are stale if no more come.
+// untilStale returns the time until the updates of other routers are stale if no more arrive.
 func (c *Controller) untilStale() time.Duration {
 	limits := c.StaleAfter(c.IsRelay())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ages := c.known.ages(clock.Now())
-	left := checkIdleEvery
+	left := maxRoleCheckInterval
 	for _, kind := range []struct{ age, limit time.Duration }{
 		{ages.Config, limits.Config}, {ages.Servers, limits.Servers}, {ages.Evacuated, limits.Evacuated},
 	} {
--- a/controller/updates/slow_test.go
+++ b/controller/updates/slow_test.go
@@ -13,70 +13,71 @@
 	"github.com/gaplink/gaplink/wait"
 )
 
-// slowCalls take a time on the way there and back, as on a full link.
+// slowCalls delays each update request, as a saturated link does.
 type slowCalls struct {
 	updates.Calls
-	takes          time.Duration
-	running, most  atomic.Int64
-	calls, ignored atomic.Int64
+	delay               time.Duration
+	running, maxRunning atomic.Int64
+	calls, cancelled    atomic.Int64
 }
 
 func (s *slowCalls) Updates(ctx context.Context, addr string, req *peer.UpdatesRequest) (*peer.UpdatesAnswer, error) {
 	s.calls.Add(1)
-	if n := s.running.Add(1); n > s.most.Load() {
-		s.most.Store(n)
+	if n := s.running.Add(1); n > s.maxRunning.Load() {
+		s.maxRunning.Store(n)
 	}
 	defer s.running.Add(-1)
-	if err := wait.For(ctx, s.takes); err != nil {
-		s.ignored.Add(1)
+	if err := wait.For(ctx, s.delay); err != nil {
+		s.cancelled.Add(1)
 		return nil, err
 	}
 	return s.Calls.Updates(ctx, addr, req)
 }
 
-// Guards against a router with a full link that gives up each request for updates before its
-// answer has crossed the link: what it knew grew older for as long as the link was full.
+// TestRouterWithAFullLinkIsUpdated guards against a router with a saturated link that cancels each
+// update request before its answer has crossed the link: the router's state became stale for as
+// long as the link was saturated.
 func TestRouterWithAFullLinkIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const takes = 1100 * time.Millisecond
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1)}, 9)
-		slow := &slowCalls{Calls: p, takes: takes}
+		slow := &slowCalls{Calls: p, delay: takes}
 		p.asking.Calls = slow
 		p.asking.Timeout = func(time.Duration) time.Duration { return 1500 * time.Millisecond }
 		go p.asking.Run(t.Context())
-		time.Sleep(4 * time.Second) // the first answers are one list, which is reused
+		time.Sleep(4 * time.Second) // the first answers come from one list, which is reused
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			// The answer's way, and the time until the next one.
+			// the time of an answer's transfer, and the time until the next answer
 			if age := p.asking.Ages().Servers; age == peer.Unheard || age > 2*takes {
-				t.Fatalf("what the router knows is %v old", age)
+				t.Fatalf("the router's state is %v old", age)
 			}
 		}
-		if most := slow.most.Load(); most < 2 || most > 3 {
-			t.Errorf("%d requests under way at once", most)
+		if most := slow.maxRunning.Load(); most < 2 || most > 3 {
+			t.Errorf("%d concurrent requests", most)
 		}
-		if slow.ignored.Load() > 0 {
-			t.Errorf("%d of %d requests were given up", slow.ignored.Load(), slow.calls.Load())
+		if slow.cancelled.Load() > 0 {
+			t.Errorf("%d of %d requests were given up", slow.cancelled.Load(), slow.calls.Load())
 		}
 	})
 }
 
-// Guards against requests that pile up, or go on beyond their time, at a router whose link is not
-// full.
-func TestSlowRequestsAreGivenUpOnAnIdleLink(t *testing.T) {
+// TestSlowRequestsTimeOutOnAnIdleLink guards against requests that accumulate, or exceed their
+// timeout, at a router whose link is not saturated.
+func TestSlowRequestsTimeOutOnAnIdleLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair()
 		p.theirs.Listed([]store.Object{registration("a", 1)}, 9)
-		slow := &slowCalls{Calls: p, takes: time.Second}
+		slow := &slowCalls{Calls: p, delay: time.Second}
 		p.asking.Calls = slow
 		p.asking.Timeout = func(normal time.Duration) time.Duration { return normal }
 		go p.asking.Run(t.Context())
 		time.Sleep(10 * time.Second)
-		if slow.most.Load() > 1 {
-			t.Errorf("%d requests under way at once", slow.most.Load())
+		if slow.maxRunning.Load() > 1 {
+			t.Errorf("%d concurrent requests", slow.maxRunning.Load())
 		}
-		if n := slow.ignored.Load(); n == 0 || n < slow.calls.Load()-1 {
+		if n := slow.cancelled.Load(); n == 0 || n < slow.calls.Load()-1 {
 			t.Errorf("%d of %d requests were given up", n, slow.calls.Load())
 		}
 	})
--- a/controller/updates/timestamps.go
+++ b/controller/updates/timestamps.go
@@ -8,12 +8,12 @@
 )
 
 // Timestamps are the times up to which all changes in the store are known, by kind of object;
-// zero: none is known. They are those of the store's own answers, however many routers have
-// relayed them.
+// zero if none is known. They refer to the store's own answers, however many routers have relayed
+// them.
 type Timestamps struct{ Config, Servers, Evacuated time.Time }
 
-// timestampsOf converts the ages in an answer to a request sent at a time. The answer was made
-// later, so the timestamps are never too new.
+// timestampsOf converts the ages in the answer to a request sent at a time. The answer was made
+// after that time, so the timestamps are never too recent.
 func timestampsOf(ages peer.Ages, sent time.Time) Timestamps {
 	return Timestamps{
 		Config:    timestampOf(ages.Config, sent),
@@ -22,7 +22,7 @@
 	}
 }
 
-// timestampOf converts an age in an answer to a request sent at a time.
+// timestampOf converts an age in the answer to a request sent at a time.
 func timestampOf(age time.Duration, sent time.Time) time.Time {
 	if age < 0 {
 		return time.Time{}
@@ -30,7 +30,7 @@
 	return sent.Add(-age)
 }
 
-// ages returns the ages at a time.
+// ages returns the ages at a given time.
 func (t Timestamps) ages(now time.Time) peer.Ages {
 	since := func(t time.Time) time.Duration {
 		if t.IsZero() {
@@ -41,13 +41,14 @@
 	return peer.Ages{Config: since(t.Config), Servers: since(t.Servers), Evacuated: since(t.Evacuated)}
 }
 
-// or returns the later timestamps of both.
-func (t Timestamps) or(other Timestamps) Timestamps {
+// latest returns the later of both timestamps for each kind.
+func (t Timestamps) latest(other Timestamps) Timestamps {
 	return Timestamps{Config: later(t.Config, other.Config), Servers: later(t.Servers, other.Servers), Evacuated: later(t.Evacuated, other.Evacuated)}
 }
 
-// within tells whether no kind of object exceeds its limit; a limit of 0 always holds.
-func within(ages, limits peer.Ages) bool {
+// withinLimits reports whether no kind of object exceeds its limit. A limit of 0 means that the
+// kind is not limited.
+func withinLimits(ages, limits peer.Ages) bool {
 	holds := func(age, limit time.Duration) bool {
 		return limit == 0 || age != peer.Unheard && age <= limit
 	}
@@ -65,5 +66,5 @@
 func (c *Controller) Ages() peer.Ages {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known.or(c.AsOf()).ages(clock.Now())
+	return c.known.latest(c.AsOf()).ages(clock.Now())
 }
--- a/controller/updates/updates.go
+++ b/controller/updates/updates.go
@@ -1,6 +1,6 @@
 // Package updates propagates the configuration, the registrations of backend servers and
-// evacuations to routers that do not watch the store: because the store does not answer them,
-// or because in a large fleet few routers watch it and relays update the others.
+// evacuations to routers that do not watch the store, either because they cannot reach it or
+// because only a few routers of a large fleet watch it and relays update the others.
 package updates
 
 import (
@@ -22,182 +22,184 @@
 )
 
 const (
-	// askEvery is the interval between requests for updates of a router that updates others.
-	// askFirst is the first interval until the first answer, which doubles up to askEvery: a
-	// router that has just started can serve nobody before it. askSoon is the interval of a
-	// router without updates for which others wait.
-	askEvery = bound.AskEvery
-	askFirst = 50 * time.Millisecond
-	askSoon  = 100 * time.Millisecond
-	// askAtOnce is the pause where the last answer held a part of the changes.
-	askAtOnce = 10 * time.Millisecond
-	// soonFor is how much longer than two intervals after the last update, or the last answer of
-	// the store, a router that updates no others asks at askSoon.
-	soonFor = time.Second
-	// retryEvery is the least time between two attempts to reach the store that are caused by
-	// other routers which the store answers.
-	retryEvery = 500 * time.Millisecond
-	// asksAtOnce bounds the requests for updates under way: beside one that waits at a full link
-	// others are sent.
-	asksAtOnce = 3
-	// callTimeout bounds a request for updates while the link is not full.
+	// requestInterval is the interval between update requests of a router that updates others.
+	// initialRequestInterval is the interval at startup, which doubles up to requestInterval: a
+	// router serves no requests before its first update. catchUpInterval is the interval of a
+	// router that lacks updates which other routers wait for.
+	requestInterval        = bound.AskEvery
+	initialRequestInterval = 50 * time.Millisecond
+	catchUpInterval        = 100 * time.Millisecond
+	// moreChangesPause is the pause after an answer that held only part of the changes.
+	moreChangesPause = 10 * time.Millisecond
+	// catchUpGrace is how much longer than two intervals after the last update, or the store's
+	// last answer, a router that updates no others sends requests at catchUpInterval.
+	catchUpGrace = time.Second
+	// storeRetryInterval is the minimum time between two attempts to reach the store that are
+	// triggered by other routers which the store answers.
+	storeRetryInterval = 500 * time.Millisecond
+	// maxInFlight limits the concurrent update requests: further ones are sent while one is
+	// delayed by a saturated link.
+	maxInFlight = 3
+	// callTimeout bounds an update request while the link is not saturated.
 	callTimeout = 400 * time.Millisecond
-	// slowAfter is how long after its begin a request counts as slow, and the next candidate is
-	// asked beside it.
-	slowAfter = callTimeout + 20*time.Millisecond
-	// fetchTimeout bounds the transfer of a configuration: a large one, compressed, takes half
-	// a second on a small router's link that serves several.
+	// hedgeDelay is the time after which a request counts as slow and the next candidate is
+	// queried in parallel.
+	hedgeDelay = callTimeout + 20*time.Millisecond
+	// fetchTimeout bounds the transfer of a configuration: a large one takes half a second
+	// compressed on a small router's link that carries several transfers.
 	fetchTimeout = 2 * time.Second
-	// fetchGrace is how much older a configuration may become while a newer one is being
+	// fetchGrace extends the staleness bound of a configuration while a newer one is being
 	// fetched: the time of two transfers, to a relay and from it.
 	fetchGrace = time.Second
-	// promiseHolds is how long a router that starts waits for another one that has answered and
-	// does not know all servers yet itself, and waitLongest how long it does so in all. The
-	// store would send the list of a large fleet to each router that asks, for minutes.
-	promiseHolds = 1500 * time.Millisecond
-	waitLongest  = 10 * time.Second
-	// recentRequests is for how many intervals an update counts as proof that the store answers
-	// another router, and recentSlack how much longer.
-	recentRequests = 3
-	recentSlack    = 50 * time.Millisecond
-	// lostFor is how long the store counts as unreachable after a watcher said so and no other
-	// router said otherwise: one request to each relay of five failure domains.
-	lostFor = 3 * time.Second
-	// watchers is how many routers of a large fleet watch the store: one more than needed. They
-	// also ask each other for updates, which makes up for a stalled watch.
-	watchers = 2
-	// relaysLeast is how many relays a failure domain has at least: one more than needed. A
-	// larger domain has one for each followersMost of its routers.
-	relaysLeast   = 2
-	followersMost = 128
+	// syncingTTL is how long a starting router waits for another one that has answered but does
+	// not know all servers yet, and maxSyncWait how long it waits in total. Otherwise the store
+	// would spend minutes sending the list of a large fleet to each starting router.
+	syncingTTL  = 1500 * time.Millisecond
+	maxSyncWait = 10 * time.Second
+	// recentIntervals is for how many request intervals an update proves that the store answers
+	// another router, and recentSlack is added to them.
+	recentIntervals = 3
+	recentSlack     = 50 * time.Millisecond
+	// lostTTL is how long the store counts as unreachable after a watcher reported it and no
+	// other router reported otherwise: one request to each relay of five failure domains.
+	lostTTL = 3 * time.Second
+	// watcherCount is how many routers of a large fleet watch the store: one more than needed.
+	// They also request updates from each other, which compensates for a stalled watch.
+	watcherCount = 2
+	// minRelays is the minimum number of relays in a failure domain: one more than needed. A
+	// larger domain has one relay for every routersPerRelay of its routers.
+	minRelays       = 2
+	routersPerRelay = 128
 	// watchRole is the role by which watchers and relays are ranked.
 	watchRole = "watch"
-	// strayEvery is which of the requests in a row without an update goes to any router: the
-	// store may answer it and none of the candidates.
-	strayEvery = 4
+	// randomPeerEvery selects which of the consecutive requests without an update goes to a
+	// random router: the store may answer that one and none of the candidates.
+	randomPeerEvery = 4
 )
 
-// Options are what a controller works with.
+// Options configure a controller.
 type Options struct {
 	Configs *configs.Controller
 	Servers *registry.Controller
-	// Routers are the registrations of routers; nil: they are not propagated.
+	// Routers are the registrations of routers; if nil, they are not propagated.
 	Routers Replica
 	// Evacuations holds the evacuated failure domains.
 	Evacuations Evacuations
 	Members     *members.Controller
-	// Verdicts holds what is known of requests that crash servers, and Limits what is known of
-	// the rate limits that servers name.
+	// Verdicts holds the known requests that crash servers, and Limits the rate limits that
+	// servers announce.
 	Verdicts Verdicts
 	Limits   Limits
-	// Calls carries the requests for updates.
+	// Calls sends the requests to other routers.
 	Calls Calls
-	// Self is this process.
+	// Self identifies this process.
 	Self string
 	// Domain is this router's failure domain.
 	Domain string
-	// Lost tells whether the store did not answer this router's last call, and Fresh whether it
-	// answered within the last watch.
+	// Lost reports whether this router's last call of the store failed, and Fresh whether the
+	// store has answered within the duration of a watch.
 	Lost, Fresh func() bool
-	// AsOf returns the times up to which the store itself has sent this router all changes.
+	// AsOf returns the times up to which this router has received all changes from the store
+	// itself.
 	AsOf func() Timestamps
-	// StaleAfter returns the staleness bounds from which this router queries the store directly,
-	// for a relay and for other routers; 0: objects of that kind are not followed.
+	// StaleAfter returns the staleness bounds above which a relay or another router queries the
+	// store directly; 0 means that objects of that kind are not followed.
 	StaleAfter func(relay bool) peer.Ages
-	// AskEvery returns the interval between requests for updates of a router that updates no
-	// others; nil: it is that of relays.
+	// AskEvery returns the interval between update requests of a router that updates no others;
+	// if nil, the interval of relays applies.
 	AskEvery func() time.Duration
 	// Answered returns when the store last answered any call of this process.
 	Answered func() time.Time
-	// Failed takes when a request for updates began that has failed, and its error; nil: nobody
-	// wants to know.
+	// Failed, if set, receives the start time and the error of each failed update request.
 	Failed func(begun time.Time, cause error)
-	// Timeout returns the time that a request for updates may take which takes no longer than
-	// normal while this router's link is not full; nil: it takes no longer ever.
+	// Timeout extends the normal timeout of a request while this router's link is saturated; if
+	// nil, the normal timeout always applies.
 	Timeout func(normal time.Duration) time.Duration
-	// Took takes the duration of each request for updates; nil: nobody wants to know.
+	// Took, if set, receives the duration of each update request.
 	Took func(time.Duration)
-	// Large tells whether the fleet is so large that few routers watch the store.
+	// Large reports whether the fleet is so large that only a few routers watch the store.
 	Large func() bool
 	Log   *zap.Logger
 }
 
-// Evacuations is what routers know of evacuated failure domains.
+// Evacuations holds the evacuated failure domains that a router knows.
 type Evacuations interface {
-	// Known returns them, and the store's revision at which that was so.
+	// Known returns the evacuated domains and the store revision at which they were read.
 	Known() (domains []string, revision int64)
-	// Take receives what another router knows.
+	// Take applies the domains received from another router.
 	Take(domains []string, revision int64, source string)
 }
 
-// Verdicts is what routers know of requests that crash servers.
+// Verdicts holds the requests known to crash servers.
 type Verdicts interface {
-	// Since returns the entries after a sequence number of the log, and the last number.
+	// Since returns the log entries after a sequence number, and the last sequence number.
 	Since(seq int64) (poison.Report, int64)
-	// Receive merges what another router knows.
+	// Receive merges the report of another router.
 	Receive(poison.Report)
 }
 
-// Limits is what routers know of the rate limits that servers name.
+// Limits holds the rate limits that servers announce.
 type Limits interface {
-	// Since returns the entries after a sequence number of the log, and the last number.
+	// Since returns the log entries after a sequence number, and the last sequence number.
 	Since(seq int64) (limiter.Report, int64)
-	// Receive merges what another router knows.
+	// Receive merges the report of another router.
 	Receive(limiter.Report)
 }
 
-// Controller requests and answers updates. It is safe for concurrent use.
+// Controller requests updates from other routers and answers their requests. It is safe for
+// concurrent use.
 type Controller struct {
 	Options
 
 	mu    sync.Mutex
-	known Timestamps // up to when other routers have sent all changes
-	// updatedAt is when another router last sent what the store holds, and lostAt when one last
-	// said that the store does not answer it.
+	known Timestamps // times up to which other routers have sent all changes
+	// updatedAt is when another router last sent an update from the store, and lostAt when a
+	// router last reported that the store does not answer it.
 	updatedAt, lostAt time.Time
-	relay             string // the router that sent the last update; empty: the next candidate is asked
+	relay             string // the router that sent the last update; if empty, the next candidate is queried
 	origin            string // the router that received that update from the store
-	next              int    // the index of the next candidate
-	logged            bool   // the log has the present relay
-	// answeredElsewhere is when a router said that the store answers it.
+	nextIndex         int    // the index of the next candidate
+	relayLogged       bool   // the current relay was logged
+	// answeredElsewhere is when a router last reported that the store answers it.
 	answeredElsewhere time.Time
 
-	reportSource string // the process whose reports were received last
-	// verdictSeq and limitSeq are the last sequence numbers of its logs.
+	reportSource string // the process that sent the last received reports
+	// verdictSeq and limitSeq are the last received sequence numbers of its logs.
 	verdictSeq, limitSeq int64
 
-	firstAsks int // before the first update
-	// promisedAt is when a router that is to update this one last said that it does not know all
-	// servers yet, and waitingSince when it did so first.
-	promisedAt, waitingSince time.Time
+	startupRequests int // requests sent before the first update
+	// syncingAt is when a router that updates this one last answered that it does not know all
+	// servers yet, and waitingSince when one did so first.
+	syncingAt, waitingSince time.Time
 
 	fetching atomic.Bool // a configuration is being fetched
-	// asking has room for the requests under way, and receiving orders their answers.
-	asking    chan struct{}
-	receiving sync.Mutex
+	// inFlight is a semaphore of the concurrent requests, and receiveMu serializes the handling
+	// of their answers.
+	inFlight  chan struct{}
+	receiveMu sync.Mutex
 
-	// lists are the lists that are being read, and snapshots those that other routers read.
-	lists     lists
-	snapshots map[peer.Kind]*snapshot
-	packed    map[peer.Kind]*packedChanges
-	// lacks tells that the last answer held a part of the changes.
-	lacks bool
+	// lists are the lists being read from other routers, and snapshots those served to them.
+	lists         listReader
+	snapshots     map[peer.Kind]*snapshot
+	cachedChanges map[peer.Kind]*changesCache
+	// moreChanges is set if the last answer held only part of the changes.
+	moreChanges bool
 
-	role roleWatch
+	role roleNotifier
 }
 
 // New returns a controller.
 func New(o Options) *Controller {
 	return &Controller{
-		Options: o,
-		next:    rand.IntN(relaysLeast), // relays share the requests
-		asking:  make(chan struct{}, asksAtOnce),
+		Options:   o,
+		nextIndex: rand.IntN(minRelays), // spreads the requests over the relays
+		inFlight:  make(chan struct{}, maxInFlight),
 
-		lists:     lists{transfers: map[peer.Kind]*transfer{}},
+		lists:     listReader{transfers: map[peer.Kind]*transfer{}},
 		snapshots: map[peer.Kind]*snapshot{peer.KindServers: {}, peer.KindRouters: {}},
-		packed: map[peer.Kind]*packedChanges{
-			peer.KindServers: {byFrom: map[int64]packedChange{}},
-			peer.KindRouters: {byFrom: map[int64]packedChange{}},
+		cachedChanges: map[peer.Kind]*changesCache{
+			peer.KindServers: {byRevision: map[int64]cachedAnswer{}},
+			peer.KindRouters: {byRevision: map[int64]cachedAnswer{}},
 		},
 	}
 }
@@ -210,24 +212,25 @@
 	return c.origin, c.upToDate()
 }
 
-// UpToDate tells whether the updates of other routers are within the staleness bounds.
+// UpToDate reports whether the updates of other routers are within the staleness bounds.
 func (c *Controller) UpToDate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.upToDate()
 }
 
-// upToDate goes by the time of the store's answer, not by that of the update: a relay may have
-// sent the same state for seconds. A configuration that is being fetched gets fetchGrace.
+// upToDate compares the age of the store's answer, not that of the update, with the staleness
+// bounds: a relay may have sent the same state for seconds. The bound of a configuration that is
+// being fetched is extended by fetchGrace.
 func (c *Controller) upToDate() bool {
 	limits := c.StaleAfter(c.IsRelay())
 	if c.fetching.Load() {
 		limits.Config += fetchGrace
 	}
-	return within(c.known.ages(clock.Now()), limits)
+	return withinLimits(c.known.ages(clock.Now()), limits)
 }
 
-// RecentlyUpdated tells whether the store answers another router that updates this one.
+// RecentlyUpdated reports whether the store answers another router that updates this one.
 func (c *Controller) RecentlyUpdated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,23 +238,24 @@
 }
 
 func (c *Controller) recentlyUpdated() bool {
-	return clock.Since(c.updatedAt) <= recentRequests*c.interval()+recentSlack
+	return clock.Since(c.updatedAt) <= recentIntervals*c.interval()+recentSlack
 }
 
-// interval returns the interval between requests for updates while there are updates.
+// interval returns the interval between update requests while updates arrive.
 func (c *Controller) interval() time.Duration {
 	if c.AskEvery == nil || c.UpdatesOthers() {
-		return askEvery
+		return requestInterval
 	}
 	return c.AskEvery()
 }
 
-// StoreLost tells whether the store answers neither this router's calls nor the watchers.
+// StoreLost reports whether the store answers neither this router's calls nor the watchers.
 func (c *Controller) StoreLost() bool {
 	return c.Lost() || c.StoreLostAtRelays()
 }
 
-// StoreLostAtRelays tells whether the store does not answer the watchers, by what relays say.
+// StoreLostAtRelays reports whether, according to the relays, the store does not answer the
+// watchers.
 func (c *Controller) StoreLostAtRelays() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -259,5 +263,5 @@
 }
 
 func (c *Controller) lostAtRelays() bool {
-	return !c.recentlyUpdated() && clock.Since(c.lostAt) <= lostFor
+	return !c.recentlyUpdated() && clock.Since(c.lostAt) <= lostTTL
 }
