--- a/controller/follow/busy_test.go
+++ b/controller/follow/busy_test.go
@@ -12,10 +12,11 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// busyStore holds objects that are written at a rate without end. Its revision counts the writes.
+// busyStore holds objects that are written continuously at a fixed rate. Its revision counts the
+// writes.
 type busyStore struct {
 	store.Store
-	// perSecond are the writes a second.
+	// perSecond is the number of writes per second.
 	perSecond float64
 	begun     time.Time
 
@@ -25,9 +26,9 @@
 }
 
 const (
-	// answerMost is how many changes the store puts into one answer, answerTakes how long one
-	// takes, and history for how long changes are held.
-	answerMost  = 500
+	// maxAnswer is how many changes the store returns in one answer, answerTakes the latency of an
+	// answer, and history for how long the store retains changes.
+	maxAnswer   = 500
 	answerTakes = 8 * time.Millisecond
 	history     = 20 * time.Second
 )
@@ -52,12 +53,13 @@
 		s.mu.Unlock()
 		return store.Events{Gap: true}, nil
 	}
-	last = min(last, since+answerMost)
+	last = min(last, since+maxAnswer)
 	return store.Events{Revision: last, Objects: make([]store.Object, last-since)}, nil
 }
 
-// Guards against a watch that falls behind what the servers of a large fleet write, until the
-// store has forgotten the changes: 10,000 servers renew their registrations every three seconds.
+// TestWatchKeepsUpWithAllServers guards against a watch that falls behind the writes of the servers
+// of a large fleet until the store no longer retains the changes: 10,000 servers renew their
+// registrations every three seconds.
 func TestWatchKeepsUpWithAllServers(t *testing.T) {
 	for servers, callsMost := range map[int]int{145: 7, 1000: 8, 10000: 15, 20000: 30} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
@@ -75,7 +77,7 @@
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if s.gaps > 0 {
-					t.Errorf("history was gone %d times", s.gaps)
+					t.Errorf("changes were no longer retained %d times", s.gaps)
 				}
 				if each := s.calls / int(span.Seconds()); each > callsMost {
 					t.Errorf("%d calls a second", each)
--- a/controller/follow/fallback.go
+++ b/controller/follow/fallback.go
@@ -12,9 +12,9 @@
 	"github.com/gaplink/gaplink/wait"
 )
 
-// isDue tells whether a fallback watcher may make a call. One that the store answers goes on; the
-// others try at random times within the bound on a change, whatever the size of the fleet: the
-// store may answer this router alone.
+// isDue reports whether a fallback watcher may make a call. A watcher that the store answers
+// continues; the others call it at random times within the bound on a change, whatever the size of
+// the fleet, because the store may answer only this router.
 func (f *Follower) isDue(now time.Time) bool {
 	if f.Fresh() {
 		return true
@@ -22,22 +22,22 @@
 	if f.Prober != nil {
 		return f.Prober()
 	}
-	if f.due.IsZero() {
-		f.draw(now)
+	if f.nextCallAt.IsZero() {
+		f.schedule(now)
 	}
-	return !now.Before(f.due) || f.Answered().After(f.drawn)
+	return !now.Before(f.nextCallAt) || f.Answered().After(f.scheduledAt)
 }
 
-// draw draws when a fallback watcher tries the store.
-func (f *Follower) draw(now time.Time) {
-	in := f.drawWait()
-	f.drawn, f.due = now, now.Add(in)
-	f.tries++
-	f.Log.Info("no update source; querying the store directly", zap.Duration("in_ms", in), zap.Int("try", f.tries),
+// schedule sets a random time for a fallback watcher's next call.
+func (f *Follower) schedule(now time.Time) {
+	in := f.randomDelay()
+	f.scheduledAt, f.nextCallAt = now, now.Add(in)
+	f.attempts++
+	f.Log.Info("no update source; querying the store directly", zap.Duration("in_ms", in), zap.Int("try", f.attempts),
 		f.ageField())
 }
 
-// ageField returns the age of the state, for the log.
+// ageField returns a log field with the age of the state.
 func (f *Follower) ageField() zap.Field {
 	if f.AsOf().IsZero() {
 		return zap.String("age_ms", "unknown")
@@ -45,32 +45,33 @@
 	return zap.Duration("age_ms", clock.Since(f.AsOf()))
 }
 
-// drawWait draws how long a fallback watcher waits until it tries the store.
-func (f *Follower) drawWait() time.Duration {
+// randomDelay returns a random delay before a fallback watcher's next call.
+func (f *Follower) randomDelay() time.Duration {
 	switch {
-	case f.tries > 0 && f.IsRelay():
-		return drawnAwayPause() // others wait for its updates
-	case f.tries > 0:
+	case f.attempts > 0 && f.IsRelay():
+		return jitteredOutagePause() // others wait for its updates
+	case f.attempts > 0:
 		half := f.Bound().Retry() / 2
 		return half + rand.N(half)
-	case f.since() == 0:
+	case f.knownRevision() == 0:
 		return rand.N(f.startSpread())
 	default:
 		return rand.N(bound.ProbeWithin)
 	}
 }
 
-// startSpread returns the time over which the routers of the fleet spread their first calls.
+// startSpread returns the time over which the starting routers of the fleet spread their first
+// calls.
 func (f *Follower) startSpread() time.Duration {
 	if f.Fleet == nil || f.IsRelay() {
-		return startWithin
+		return minStartSpread
 	}
-	return max(startWithin, time.Duration(f.Fleet())*startEach)
+	return max(minStartSpread, time.Duration(f.Fleet())*startSpreadPerRouter)
 }
 
-// updatedMeanwhile waits for updates of other routers, and tells whether they came: when an outage
-// ends, the store answers all routers of a fleet at the same time.
-func (f *Follower) updatedMeanwhile(ctx context.Context) bool {
+// yield waits for updates from other routers and reports whether they arrived: when an outage ends,
+// the store answers all routers of a fleet at the same time.
+func (f *Follower) yield(ctx context.Context) bool {
 	if f.IsRelay() {
 		return false
 	}
@@ -78,8 +79,8 @@
 	return f.Role() == Idle
 }
 
-// probe probes the store. A probe that gets no answer is given up and sent again once the store
-// answers another call: an outage that has ended would hold it until its timeout.
+// probe probes the store. An unanswered probe is cancelled and sent again once the store answers
+// another call; otherwise a probe sent during an outage would last until its timeout.
 func (f *Follower) probe(ctx context.Context) error {
 	begun := clock.Now()
 	first, giveUp := context.WithCancel(ctx)
@@ -90,7 +91,7 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 			if f.Answered().After(begun) {
 				giveUp()
 				return f.Probe(ctx)
@@ -99,24 +100,24 @@
 	}
 }
 
-// waitUntilAnswered waits for d, or until the store answers another call of this process.
+// waitUntilAnswered waits for d or until the store answers another call of this process.
 func (f *Follower) waitUntilAnswered(ctx context.Context, d time.Duration) {
 	begun := clock.Now()
 	for ctx.Err() == nil && clock.Since(begun) < d && !f.Answered().After(begun) {
-		_ = wait.For(ctx, min(lookEvery, d-clock.Since(begun)))
+		_ = wait.For(ctx, min(pollInterval, d-clock.Since(begun)))
 	}
 }
 
-// drawnAwayPause returns awayPause, more or less a half.
-func drawnAwayPause() time.Duration {
-	return time.Duration((0.5 + rand.Float64()) * float64(awayPause))
+// jitteredOutagePause returns outagePause with a jitter of half of it either way.
+func jitteredOutagePause() time.Duration {
+	return time.Duration((0.5 + rand.Float64()) * float64(outagePause))
 }
 
-// noteSource tells the handler, once, that this router has no source of updates.
+// noteSource reports to the handler, once, that this router has no source of updates.
 func (f *Follower) noteSource(role Role) {
 	lacksSource := role == Fallback
-	if lacksSource && !f.noSource {
+	if lacksSource && !f.noSourceReported {
 		f.Handler.Lost()
 	}
-	f.noSource = lacksSource
+	f.noSourceReported = lacksSource
 }
--- a/controller/follow/follow.go
+++ b/controller/follow/follow.go
@@ -1,5 +1,5 @@
 // Package follow follows one kind of objects in the store: it lists them, watches for changes, and
-// lists them again where changes were missed.
+// lists them again after changes were missed.
 package follow
 
 import (
@@ -18,32 +18,33 @@
 )
 
 const (
-	// retryPause is the pause after a failed call, and awayPause, more or less a half, after
-	// hastyTries in a row: in a long outage it is enough that one router of a fleet soon
-	// finds the store reachable again.
-	retryPause = 250 * time.Millisecond
-	awayPause  = time.Second
-	hastyTries = 4
-	// gatherPause is the longest pause after a watch that returned changes. A release changes
-	// objects many times a second, and the pause gathers them for one call.
-	gatherPause = 150 * time.Millisecond
-	// gatherMost is how many changes a call may gather: well under what the store puts into one
-	// answer, so that a watch catches up with any number of writers.
-	gatherMost = 300
-	// freshSlack is how long beyond the wait of a watch the last answer of the store counts as
+	// retryPause is the pause after a failed call. After fastRetries consecutive failures it is
+	// outagePause with a jitter of half of it either way: in a long outage it is enough that one
+	// router of a fleet soon finds the store reachable again.
+	retryPause  = 250 * time.Millisecond
+	outagePause = time.Second
+	fastRetries = 4
+	// maxBatchPause is the longest pause after a watch that returned changes. A release changes
+	// objects many times a second, and the pause batches them into one call.
+	maxBatchPause = 150 * time.Millisecond
+	// maxBatch is the number of changes to collect for one call: well below the store's limit for
+	// one answer, so that a watch keeps up with any number of writers.
+	maxBatch = 300
+	// freshSlack is how long beyond the duration of a watch the store's last answer counts as
 	// current: the time of a slow answer and of a pause.
 	freshSlack = 600 * time.Millisecond
-	// startWithin is the least time over which routers that start spread their first calls, and
-	// startEach what each router of the fleet adds to it: most receive updates from others before.
-	startWithin = 1200 * time.Millisecond
-	startEach   = 10 * time.Millisecond
-	// lookEvery is how often a router checks its role.
-	lookEvery = 100 * time.Millisecond
-	// atOnce is the wait of a watch that returns the changes so far.
-	atOnce = time.Millisecond
+	// minStartSpread is the minimum time over which starting routers spread their first calls,
+	// and startSpreadPerRouter the time for each router of the fleet: most routers receive updates
+	// from others before their first call.
+	minStartSpread       = 1200 * time.Millisecond
+	startSpreadPerRouter = 10 * time.Millisecond
+	// pollInterval is how often a follower checks its role, and whether the store has answered.
+	pollInterval = 100 * time.Millisecond
+	// pollTimeout is the duration of a watch that only returns the changes so far.
+	pollTimeout = time.Millisecond
 )
 
-// Role is what a follower does.
+// Role is the role of a follower towards the store.
 type Role int
 
 // The roles.
@@ -56,51 +57,51 @@
 	Watches
 )
 
-// Handler takes what a follower receives. Its methods are called one after the other.
+// Handler handles the objects that a follower receives. Its methods are called sequentially.
 type Handler interface {
-	// Listed takes all objects as they were at a revision of the store.
+	// Listed applies a list of all objects at a revision of the store.
 	Listed(objects []store.Object, revision int64)
-	// Changed takes changed objects, oldest first.
+	// Changed applies changed objects, oldest first.
 	Changed(objects []store.Object)
-	// Advanced tells that all changes up to a revision of the store were taken.
+	// Advanced reports that all changes up to a revision of the store were received.
 	Advanced(revision int64)
-	// Lost tells that the store does not answer, or that there is no source of updates, and
-	// Regained that it answers again.
+	// Lost reports that the store does not answer or that there is no source of updates, and
+	// Regained that the store answers again.
 	Lost()
 	Regained()
 }
 
-// Options are what a follower works with.
+// Options configure a follower.
 type Options struct {
 	Store store.Store
-	// Prefix is the kind to follow.
+	// Prefix is the kind of objects to follow.
 	Prefix  string
 	Handler Handler
-	// Role returns what the follower does now.
+	// Role returns the current role of the follower.
 	Role func() Role
-	// Changed returns a channel that is closed when the role is no longer Idle; nil: the role is
-	// checked regularly.
+	// Changed returns a channel that is closed when the role is no longer Idle; if nil, the role is
+	// polled.
 	Changed func() <-chan struct{}
-	// Bound returns how the operator's bound on a change of the kind is divided.
+	// Bound returns the division of the operator's bound on a change of the kind.
 	Bound func() bound.Parts
-	// ReceivedRevision returns the store's revision up to which other routers have sent all
-	// changes of the kind; nil: they send none.
+	// ReceivedRevision returns the store revision up to which other routers have sent all changes
+	// of the kind; nil if they send none.
 	ReceivedRevision func() int64
 	// Answered returns when the store last answered any call of this process, or of another
-	// router that waits for this one.
+	// router that waits for updates from this one.
 	Answered func() time.Time
-	// Fleet returns the number of routers; nil: they are few.
+	// Fleet returns the number of routers; if nil, the fleet is small.
 	Fleet func() int
-	// IsRelay tells whether this router updates others: a fallback watcher that does makes full
-	// calls as soon as a probe is answered, and another one waits for updates first.
+	// IsRelay reports whether this router updates others. As a fallback watcher, a relay makes full
+	// calls as soon as a probe is answered; another router waits for updates first.
 	IsRelay func() bool
-	// Probe makes the cheapest call of the store. It precedes the calls of a follower that the
-	// store did not answer last, or not yet.
+	// Probe makes the cheapest call of the store. It precedes the full calls of a follower whose
+	// last call failed or which has not called the store yet.
 	Probe func(context.Context) error
-	// AnsweredElsewhere tells whether the store answers another router.
+	// AnsweredElsewhere reports whether the store answers another router.
 	AnsweredElsewhere func() bool
-	// Prober tells whether the store answers the follower that probes it for this one too while
-	// both are fallback watchers; nil: this one probes itself.
+	// Prober reports whether the store answers the follower that probes it on behalf of this one
+	// while both are fallback watchers; if nil, this follower probes the store itself.
 	Prober func() bool
 	Log    *zap.Logger
 }
@@ -109,24 +110,24 @@
 type Follower struct {
 	Options
 
-	due      time.Time // when a fallback watcher tries the store; zero: that is not drawn yet
-	drawn    time.Time // when that was drawn
-	tries    int       // of a fallback watcher in a row
-	failures int       // in a row
-	noSource bool      // the handler was told that there is no source of updates
-	relist   bool      // changes were missed
+	nextCallAt       time.Time // when a fallback watcher calls the store next; zero if not scheduled
+	scheduledAt      time.Time // when that call was scheduled
+	attempts         int       // consecutive attempts of a fallback watcher
+	failures         int       // consecutive
+	noSourceReported bool      // reported to the handler: there is no source of updates
+	relist           bool      // changes were missed
 
 	mu       sync.Mutex
-	revision int64 // of the store; 0: it has not answered
+	revision int64 // of the store; 0 if it has not answered
 	lost     bool
 	lostAt   time.Time
-	// interrupt ends the call under way; nil: there is none.
-	interrupt context.CancelCauseFunc
-	answered  time.Time // when the store answered last
-	asOf      time.Time // see AsOf
+	// interrupt cancels the call in progress; nil if there is none.
+	interrupt  context.CancelCauseFunc
+	answeredAt time.Time // when the store last answered
+	asOf       time.Time // see AsOf
 }
 
-// New returns a follower. It makes no calls while its role is Idle.
+// New returns a follower, which makes no calls while its role is Idle.
 func New(o Options) *Follower {
 	o.Log = o.Log.With(zap.String("kind", o.Prefix))
 	return &Follower{Options: o}
@@ -139,25 +140,26 @@
 		changed := f.roleChanged()
 		role := f.Role()
 		if role == Idle {
-			f.rest()
+			f.reset()
 			f.noteSource(role)
 			f.waitForRole(ctx, changed)
 			continue
 		}
 		if role == Fallback && !f.isDue(clock.Now()) {
 			f.noteSource(role)
-			_ = wait.For(ctx, lookEvery)
+			_ = wait.For(ctx, pollInterval)
 			continue
 		}
-		f.due = time.Time{}
+		f.nextCallAt = time.Time{}
 		if err := f.try(ctx, role); err != nil && ctx.Err() == nil {
-			f.failed(err)
+			f.noteFailure(err)
 			f.waitUntilAnswered(ctx, f.pause(role))
 		}
 	}
 }
 
-// roleChanged returns a channel that is closed when the role changes; nil: nobody tells.
+// roleChanged returns a channel that is closed when the role changes, or nil if the role must be
+// polled.
 func (f *Follower) roleChanged() <-chan struct{} {
 	if f.Changed == nil {
 		return nil
@@ -168,7 +170,7 @@
 // waitForRole waits until the role may have changed.
 func (f *Follower) waitForRole(ctx context.Context, changed <-chan struct{}) {
 	if changed == nil {
-		_ = wait.For(ctx, lookEvery)
+		_ = wait.For(ctx, pollInterval)
 		return
 	}
 	select {
@@ -177,54 +179,55 @@
 	}
 }
 
-// try makes one call, after a probe where the store may not answer and no other follower of this
-// router has found that it does.
+// try makes one call. It probes the store first after a failed call, and as a fallback watcher
+// without a current answer of the store unless another follower probes it on behalf of this one.
 func (f *Follower) try(ctx context.Context, role Role) error {
 	if f.Lost() || role == Fallback && !f.Fresh() && f.Prober == nil {
 		if err := f.probe(ctx); err != nil {
 			return err
 		}
-		if role == Fallback && f.updatedMeanwhile(ctx) {
+		if role == Fallback && f.yield(ctx) {
 			return nil
 		}
 	}
-	return f.step(ctx)
+	return f.call(ctx)
 }
 
-// pause returns the time until the next try after a failed one. That of a fallback watcher is
-// drawn by isDue. The first failure may be a stalled watch, which is repeated at once.
+// pause returns the time until the next attempt after a failed one. The next attempt of a fallback
+// watcher is scheduled by isDue. The first failure may be a stalled watch, which is retried at once.
 func (f *Follower) pause(role Role) time.Duration {
 	f.failures++
 	if role == Fallback && f.Prober != nil {
-		return retryPause // nothing is drawn for it
+		return retryPause // not scheduled by isDue
 	}
 	if role == Fallback || f.failures == 1 {
 		return 0
 	}
-	if f.failures <= hastyTries || f.AnsweredElsewhere() {
+	if f.failures <= fastRetries || f.AnsweredElsewhere() {
 		return retryPause
 	}
-	return drawnAwayPause()
+	return jitteredOutagePause()
 }
 
-// rest ends the state of a lost store: other routers send updates now, and whether the store
-// answers is not known.
-func (f *Follower) rest() {
-	f.due = time.Time{}
-	f.tries = 0
+// reset clears the state of the store's availability, which is unknown while other routers send
+// updates.
+func (f *Follower) reset() {
+	f.nextCallAt = time.Time{}
+	f.attempts = 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lost = false
-	f.answered = time.Time{}
+	f.answeredAt = time.Time{}
 }
 
-// errResumed ends a call that was under way while the machine was suspended.
+// errResumed cancels a call that was in progress while the machine was suspended.
 var errResumed = errors.New("the machine was suspended")
 
-// Resumed tells that the machine was suspended. The store counts as lost and is called at once:
-// the watch under way would wait out its time, or stall if the store has closed its end.
+// Resumed handles the end of a suspension of the machine. The store counts as lost and is called at
+// once: the watch in progress would continue until its timeout, or stall if the store has closed
+// the connection.
 func (f *Follower) Resumed() {
-	f.failed(errResumed)
+	f.noteFailure(errResumed)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.interrupt != nil {
@@ -232,7 +235,7 @@
 	}
 }
 
-// interruptible returns a context that Resumed ends, and a function to call at the end.
+// interruptible returns a context that Resumed cancels, and a function that releases it.
 func (f *Follower) interruptible(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	f.mu.Lock()
@@ -246,28 +249,28 @@
 	}
 }
 
-// step makes one call.
-func (f *Follower) step(ctx context.Context) error {
+// call makes one full call, a list or a watch.
+func (f *Follower) call(ctx context.Context) error {
 	ctx, end := f.interruptible(ctx)
 	defer end()
-	since := f.since()
+	since := f.knownRevision()
 	if since == 0 {
 		return f.list(ctx)
 	}
 	waits := f.Bound().Watch
 	if !f.Fresh() {
-		waits = atOnce
+		waits = pollTimeout
 	}
 	ev, err := f.Store.Watch(ctx, f.Prefix, since, waits)
 	if err != nil {
 		return err
 	}
 	if ev.Gap {
-		f.Log.Info("history is gone; listing again", zap.Int64("revision", since))
+		f.Log.Info("the store no longer holds the changes since the last revision; listing all objects", zap.Int64("revision", since))
 		f.relist = true
 		return nil
 	}
-	f.answeredNow()
+	f.noteAnswer()
 	asOf, revision := clock.Now(), max(since, ev.Revision)
 	if len(ev.Objects) > 0 {
 		f.Handler.Changed(ev.Objects)
@@ -275,21 +278,21 @@
 	f.Handler.Advanced(revision)
 	f.advance(revision, asOf)
 	if len(ev.Objects) > 0 {
-		_ = wait.For(ctx, gatherFor(len(ev.Objects)))
+		_ = wait.For(ctx, batchPause(len(ev.Objects)))
 	}
 	return nil
 }
 
-// gatherFor returns the pause after an answer of so many changes: the more of them come, the
-// shorter it is. At a steady rate of writes an answer then holds fewer than gatherMost.
-func gatherFor(changes int) time.Duration {
-	room := max(gatherMost-changes, 0)
-	return gatherPause * time.Duration(room) / gatherMost
+// batchPause returns the pause after an answer with so many changes, which is shorter the more
+// changes it holds. At a steady rate of writes an answer then holds fewer than maxBatch.
+func batchPause(changes int) time.Duration {
+	room := max(maxBatch-changes, 0)
+	return maxBatchPause * time.Duration(room) / maxBatch
 }
 
-// since returns the revision up to which this router knows all changes, from the store or from
-// other routers; 0: a list is due.
-func (f *Follower) since() int64 {
+// knownRevision returns the revision up to which this router knows all changes, from the store or
+// from other routers; 0 if a list is required.
+func (f *Follower) knownRevision() int64 {
 	if f.relist {
 		return 0
 	}
@@ -307,14 +310,14 @@
 		return err
 	}
 	f.relist = false
-	f.answeredNow()
+	f.noteAnswer()
 	f.Handler.Listed(objects, revision)
 	f.Handler.Advanced(revision)
 	f.advance(revision, begun)
 	return nil
 }
 
-func (f *Follower) failed(err error) {
+func (f *Follower) noteFailure(err error) {
 	f.mu.Lock()
 	first := !f.lost
 	if first {
@@ -329,26 +332,26 @@
 	}
 }
 
-// answeredNow notes that the store answers.
-func (f *Follower) answeredNow() {
-	f.failures, f.tries = 0, 0
+// noteAnswer records that the store has answered.
+func (f *Follower) noteAnswer() {
+	f.failures, f.attempts = 0, 0
 	f.mu.Lock()
-	was, since := f.lost, f.lostAt
+	wasLost, since := f.lost, f.lostAt
 	f.lost = false
-	f.answered = clock.Now()
+	f.answeredAt = clock.Now()
 	f.mu.Unlock()
-	if f.noSource && !was {
+	if f.noSourceReported && !wasLost {
 		f.Handler.Regained()
 	}
-	f.noSource = false
-	if was {
+	f.noSourceReported = false
+	if wasLost {
 		f.Log.Info("store reachable again", zap.Duration("after_ms", clock.Since(since)), zap.Int64("revision", f.Revision()))
 		f.Handler.Regained()
 	}
 }
 
-// advance notes that the handler has all changes up to a revision, which was the store's at a
-// time.
+// advance records that the handler has received all changes up to a revision, which was current in
+// the store at a time.
 func (f *Follower) advance(revision int64, asOf time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -356,31 +359,31 @@
 	f.revision = revision
 }
 
-// Revision returns the store's revision up to which all changes are known.
+// Revision returns the store revision up to which all changes are known.
 func (f *Follower) Revision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision
 }
 
-// AsOf returns the time up to which the store has sent this router all changes; zero: it has
-// sent none.
+// AsOf returns the time up to which the store has sent this router all changes; zero if it has sent
+// none.
 func (f *Follower) AsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.asOf
 }
 
-// Lost tells whether the last call failed.
+// Lost reports whether the last call failed.
 func (f *Follower) Lost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lost
 }
 
-// Fresh tells whether the store's last answer is current.
+// Fresh reports whether the store's last answer is current.
 func (f *Follower) Fresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.lost && clock.Since(f.answered) < f.Bound().Watch+freshSlack
+	return !f.lost && clock.Since(f.answeredAt) < f.Bound().Watch+freshSlack
 }
--- a/controller/follow/follow_test.go
+++ b/controller/follow/follow_test.go
@@ -19,7 +19,7 @@
 type fakeStore struct {
 	store.Store
 	down atomic.Bool
-	// calls are those at the full price, probes the others.
+	// calls counts full calls, and probes the cheap ones.
 	calls, probes atomic.Int64
 }
 
@@ -52,30 +52,30 @@
 	}
 }
 
-// ignore is a handler that does nothing.
-type ignore struct{}
+// noopHandler is a handler that does nothing.
+type noopHandler struct{}
 
-func (ignore) Listed([]store.Object, int64) {}
-func (ignore) Changed([]store.Object)       {}
-func (ignore) Advanced(int64)               {}
-func (ignore) Lost()                        {}
-func (ignore) Regained()                    {}
+func (noopHandler) Listed([]store.Object, int64) {}
+func (noopHandler) Changed([]store.Object)       {}
+func (noopHandler) Advanced(int64)               {}
+func (noopHandler) Lost()                        {}
+func (noopHandler) Regained()                    {}
 
-// startsWithin is when a follower that starts has made its first call. Its checks fall on tenths of a
-// second, where a test at the same moment would see either state.
+// startsWithin is the time within which a starting follower has made its first call. The follower
+// polls at multiples of a tenth of a second, where a test at the same moment would see either state.
 const startsWithin = 1350 * time.Millisecond
 
-// within is the bound on changes in these tests; that of a large deployment.
-const within = 4 * time.Second
+// changeBound is the bound on changes in these tests, that of a large deployment.
+const changeBound = 4 * time.Second
 
-// options are those of a follower in a large fleet.
+// options returns the options of a follower in a large fleet.
 func options(s store.Store, role func() follow.Role) follow.Options {
 	return follow.Options{
 		Store:    s,
 		Prefix:   "kind",
-		Handler:  ignore{},
+		Handler:  noopHandler{},
 		Role:     role,
-		Bound:    func() bound.Parts { return bound.Divide(within, true) },
+		Bound:    func() bound.Parts { return bound.Divide(changeBound, true) },
 		IsRelay:  func() bool { return true },
 		Answered: func() time.Time { return time.Time{} },
 		Probe: func(ctx context.Context) error {
@@ -98,13 +98,13 @@
 	})
 }
 
-// TestFreshOnlyAfterAnAnswer: a router that rested knows nothing of the store
-// until it has answered, though no call has failed.
+// TestFreshOnlyAfterAnAnswer checks that an idle router does not count as fresh until the store has
+// answered, though no call has failed.
 func TestFreshOnlyAfterAnAnswer(t *testing.T) {
 	run(t, follow.Idle, func(s *fakeStore, f *follow.Follower, role *atomic.Int64) {
 		time.Sleep(5 * time.Second)
 		if f.Fresh() || s.calls.Load() > 0 {
-			t.Fatal("fresh, or asked, while it rests")
+			t.Fatal("fresh, or called the store, while idle")
 		}
 		role.Store(int64(follow.Watches))
 		time.Sleep(3 * time.Second)
@@ -114,42 +114,42 @@
 		role.Store(int64(follow.Idle))
 		time.Sleep(5 * time.Second)
 		if f.Fresh() {
-			t.Fatal("fresh by an answer of five seconds ago")
+			t.Fatal("fresh because of an answer five seconds ago")
 		}
 	})
 }
 
-// TestLostStoreIsAskedSeldom: a store that does not answer is asked a few times soon,
-// then once a second, for a tenth of the price, and followed soon after it is back; at
-// once if another router tells that it is.
-func TestLostStoreIsAskedSeldom(t *testing.T) {
-	// The pauses are drawn around a second: a minute of them varies by two or three calls.
+// TestUnreachableStoreIsCalledRarely checks that a store that does not answer is called a few times
+// in quick succession, then once a second by probes that cost a tenth of a full call, and that it is
+// followed soon after it answers again.
+func TestUnreachableStoreIsCalledRarely(t *testing.T) {
+	// The pauses vary around a second, so that the number of calls in a minute varies by two or three.
 	const span, slack = time.Minute, 8
-	for role, hasty := range map[follow.Role]int64{follow.Watches: 8, follow.Fallback: 0} {
+	for role, fastRetries := range map[follow.Role]int64{follow.Watches: 8, follow.Fallback: 0} {
 		run(t, role, func(s *fakeStore, f *follow.Follower, _ *atomic.Int64) {
 			s.down.Store(true)
 			time.Sleep(span)
-			if n, most := s.calls.Load()+s.probes.Load(), hasty+int64(span.Seconds())+slack; n > most || s.calls.Load() > 1 {
+			if n, most := s.calls.Load()+s.probes.Load(), fastRetries+int64(span.Seconds())+slack; n > most || s.calls.Load() > 1 {
 				t.Fatalf("%d calls and %d probes in %v, at most %d", s.calls.Load(), s.probes.Load(), span, most)
 			}
 			s.down.Store(false)
 			time.Sleep(3 * time.Second)
 			if !f.Fresh() {
-				t.Fatal("not fresh three seconds after the store is back")
+				t.Fatal("not fresh three seconds after the store is reachable again")
 			}
 		})
 	}
 }
 
-// TestFleetAsksALostStoreSeldom: the store is away from all for eight seconds, as on
-// days on which all routers are cut off from it. Few follow for all; the others must not
-// take their place all at once, at any size of the fleet. Each looks for the store itself,
-// since it may answer that router alone: once soon, and then at most once in half of the
-// time that the bound leaves for it, by a call of a tenth of the price. Before tries were
-// spread at all, 285 routers made 1,900 calls at the full price for each kind.
-func TestFleetAsksALostStoreSeldom(t *testing.T) {
-	const away = 8 * time.Second
-	triesEach := 1 + int64(away/(bound.Divide(within, true).Retry()/2))
+// TestFleetRarelyCallsAnUnreachableStore guards against a stampede of calls while no router reaches
+// the store for eight seconds. Normally few routers follow the store for all; the others must not
+// call it all at the same time, at any size of the fleet. Each probes the store itself, since the
+// store may answer only that router: once soon, and then at most once in half of the retry time
+// within the bound, by a call that costs a tenth of a full one. Before the attempts were spread, 285
+// routers made 1,900 full calls for each kind.
+func TestFleetRarelyCallsAnUnreachableStore(t *testing.T) {
+	const outage = 8 * time.Second
+	attemptsEach := 1 + int64(outage/(bound.Divide(changeBound, true).Retry()/2))
 	for _, routers := range []int{20, 285} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &fakeStore{}
@@ -162,12 +162,12 @@
 				fleet = append(fleet, f)
 				go f.Run(t.Context())
 			}
-			time.Sleep(away)
-			if n := s.probes.Load(); n < int64(routers) || n > int64(routers)*triesEach {
-				t.Errorf("%d routers asked %d times in eight seconds", routers, n)
+			time.Sleep(outage)
+			if n := s.probes.Load(); n < int64(routers) || n > int64(routers)*attemptsEach {
+				t.Errorf("%d routers sent %d probes in eight seconds", routers, n)
 			}
 			if n := s.calls.Load(); n > 0 {
-				t.Errorf("%d calls at the full price without an answer to a probe", n)
+				t.Errorf("%d full calls without an answer to a probe", n)
 			}
 			s.down.Store(false)
 			time.Sleep(time.Second)
@@ -176,16 +176,16 @@
 				found = found || f.Fresh()
 			}
 			if !found {
-				t.Errorf("none of %d routers has found the store a second after it is back", routers)
+				t.Errorf("none of %d routers follows the store a second after it is reachable again", routers)
 			}
 		})
 	}
 }
 
-// TestRouterThatIsAnsweredAloneFindsTheStoreWithinTheBound, whatever the size of its fleet:
-// 86 routers once spread their tries over 12.9 s, and one that the store answered all the
-// while followed it after 10.3 s.
-func TestRouterThatIsAnsweredAloneFindsTheStoreWithinTheBound(t *testing.T) {
+// TestOnlyAnsweredRouterFollowsTheStoreWithinTheBound guards against retry delays that grow with the
+// fleet: 86 routers spread their attempts over 12.9 s, and one that the store would have answered
+// all the time followed it only after 10.3 s.
+func TestOnlyAnsweredRouterFollowsTheStoreWithinTheBound(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
 			s := &fakeStore{}
@@ -194,16 +194,16 @@
 			go f.Run(t.Context())
 			time.Sleep(time.Duration(rand.N(int64(10 * time.Second))))
 			s.down.Store(false)
-			time.Sleep(within - bound.CallTimeout + 200*time.Millisecond)
+			time.Sleep(changeBound - bound.CallTimeout + 200*time.Millisecond)
 			if !f.Fresh() {
-				t.Error("not found")
+				t.Error("the follower does not follow the store")
 			}
 		})
 	}
 }
 
-// TestAnswerToAnyCallOfTheProcessEndsTheWait: the store has answered another
-// call of the process, and the follower tried it only 3.4 s later.
+// TestAnswerToAnyCallOfTheProcessEndsTheWait guards against a follower that waits although the store
+// has answered another call of the process: it called the store only 3.4 s later.
 func TestAnswerToAnyCallOfTheProcessEndsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
@@ -218,19 +218,19 @@
 		}
 		f := follow.New(o)
 		go f.Run(t.Context())
-		time.Sleep(startsWithin) // the first try has failed
+		time.Sleep(startsWithin) // the first attempt has failed
 		s.down.Store(false)
 		now := time.Now()
 		answered.Store(&now)
 		time.Sleep(200 * time.Millisecond)
 		if !f.Fresh() {
-			t.Error("the follower goes on waiting")
+			t.Error("the follower keeps waiting")
 		}
 	})
 }
 
-// Guards against a probe without an answer that holds a follower until its timeout, although
-// the store has answered another call since.
+// TestProbeIsSentAgainOnceTheStoreAnswersAnotherCall guards against an unanswered probe that blocks
+// a follower until its timeout, although the store has answered another call since.
 func TestProbeIsSentAgainOnceTheStoreAnswersAnotherCall(t *testing.T) {
 	for role, name := range map[follow.Role]string{follow.Watches: "follows", follow.Fallback: "fallback watcher"} {
 		t.Run(name, func(t *testing.T) {
@@ -251,22 +251,21 @@
 				}
 				f := follow.New(o)
 				go f.Run(t.Context())
-				time.Sleep(startsWithin) // a probe is under way
+				time.Sleep(startsWithin) // a probe is in progress
 				s.down.Store(false)
 				silent.Store(false)
 				answered.Store(time.Now().UnixNano())
 				time.Sleep(300 * time.Millisecond)
 				if !f.Fresh() {
-					t.Error("the follower goes on waiting")
+					t.Error("the follower keeps waiting")
 				}
 			})
 		})
 	}
 }
 
-// TestFollowerWithAProberPausesAfterARefusal: the store has just answered the prober and refuses
-// this kind. Asked again without a pause, it would be called in a hot loop, in which virtual
-// time stands still.
+// TestFollowerWithAProberPausesAfterARefusal guards against a hot loop when the store has just
+// answered the prober and refuses calls for this kind. In such a loop virtual time does not advance.
 func TestFollowerWithAProberPausesAfterARefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
@@ -281,9 +280,9 @@
 	})
 }
 
-// TestFollowerGoesOnFromReceivedUpdates, without a list: the store tells what has changed
-// since, also what has gone.
-func TestFollowerGoesOnFromReceivedUpdates(t *testing.T) {
+// TestFollowerContinuesFromReceivedUpdates checks that a follower continues from the revision received
+// from other routers without a list: the store sends all changes since, including deletions.
+func TestFollowerContinuesFromReceivedUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &changingStore{}
 		s.revision.Store(20)
@@ -298,9 +297,9 @@
 	})
 }
 
-// TestChangesInSeriesAreGathered: a release changes an entry every 20 ms for four
-// seconds. One call each would be 200; the calls of a follower are bounded by time.
-func TestChangesInSeriesAreGathered(t *testing.T) {
+// TestFrequentChangesAreBatched simulates a release that changes an entry every 20 ms for four
+// seconds. One call for each would be 200; batching limits the calls of a follower per time.
+func TestFrequentChangesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &changingStore{}
 		f := follow.New(options(s, func() follow.Role { return follow.Watches }))
--- a/controller/follow/suspended_test.go
+++ b/controller/follow/suspended_test.go
@@ -9,9 +9,9 @@
 	"github.com/gaplink/gaplink/lab/clocktest"
 )
 
-// TestSuspensionEndsFreshness: what was the newest before is not so after waking, until
-// the store has answered again, which it is asked at once: the watch that stood still with
-// the machine would wait out its time first, or stall for good.
+// TestSuspensionEndsFreshness checks that the state received before a suspension of the machine does
+// not count as current until the store has answered again, and that the store is called at once. The
+// suspended watch would otherwise continue until its timeout, or stall forever.
 func TestSuspensionEndsFreshness(t *testing.T) {
 	machine := clocktest.New(t)
 	run(t, follow.Watches, func(s *fakeStore, f *follow.Follower, _ *atomic.Int64) {
@@ -30,7 +30,7 @@
 		}
 		time.Sleep(400 * time.Millisecond)
 		if !f.Fresh() || s.calls.Load() == calls {
-			t.Errorf("fresh %v, %d calls within 0.4 s of waking", f.Fresh(), s.calls.Load()-calls)
+			t.Errorf("fresh %v, %d calls within 0.4 s after the suspension", f.Fresh(), s.calls.Load()-calls)
 		}
 	})
 }
