--- a/controller/ledgers/ledgers.go
+++ b/controller/ledgers/ledgers.go
@@ -115,7 +115,7 @@
 func (c *Controller) forget() {
 	for n := range c.shards {
 		c.with(n, func(now time.Time, s *ledger.Shard) []ledger.Effect {
-			s.Forget(now)
+			s.EvictFinished(now)
 			return nil
 		})
 	}
@@ -173,7 +173,7 @@
 		segments = append(segments, seg)
 		version = o.Version
 	}
-	if err == nil && !ledger.IsWholeLog(segments) {
+	if err == nil && !ledger.IsCompleteLog(segments) {
 		c.log.Error("ledger log has a hole; the shard waits for it", zap.Int("shard", n), zap.Int("segments", len(segments)))
 	}
 	c.with(n, func(now time.Time, s *ledger.Shard) []ledger.Effect {
--- a/controller/ledgers/submit.go
+++ b/controller/ledgers/submit.go
@@ -67,7 +67,7 @@
 	if err == nil && owner == c.members.Self().ID && !op.Durable {
 		return c.witnessed(ctx, op)
 	}
-	if err == nil && outcome.Verdict == ledger.Down && !op.NotRepeatable {
+	if err == nil && outcome.Verdict == ledger.StoreDown && !op.NotRepeatable {
 		return c.witnessed(ctx, op)
 	}
 	return outcome, err
@@ -161,7 +161,7 @@
 	// Totals are the tokens charged by budget over all shards.
 	Totals map[string]int64
 	// Left are the fenced holder's attempts that are charged their worst case.
-	Left []ledger.Left
+	Left []ledger.UnbilledAttempt
 }
 
 // FenceAll commits a fence in every shard and returns the charges.
@@ -175,7 +175,7 @@
 		for id, tokens := range outcome.Totals {
 			all.Totals[id] += tokens
 		}
-		all.Left = append(all.Left, outcome.Left...)
+		all.Left = append(all.Left, outcome.Unbilled...)
 	}
 	return all, nil
 }
--- a/controller/reclaims/left.go
+++ b/controller/reclaims/left.go
@@ -23,7 +23,7 @@
 // billLeft bills the attempts that a fenced router left, where model engines
 // can tell what they served. An attempt that no engine knows stays charged its
 // worst case: a paused router may still send it.
-func (c *Controller) billLeft(ctx context.Context, incarnation string, left []ledger.Left) {
+func (c *Controller) billLeft(ctx context.Context, incarnation string, left []ledger.UnbilledAttempt) {
 	slots := make(chan struct{}, askAtOnce)
 	var wg sync.WaitGroup
 	for _, l := range left {
@@ -38,13 +38,13 @@
 	wg.Wait()
 }
 
-func (c *Controller) billOne(ctx context.Context, incarnation string, l ledger.Left) {
+func (c *Controller) billOne(ctx context.Context, incarnation string, l ledger.UnbilledAttempt) {
 	served, found := c.served(ctx, l)
 	if found == 0 {
 		return
 	}
-	tries := l.Worst / l.Cap
-	served += (tries - found) * l.Cap
+	tries := l.Worst / l.MaxPerTry
+	served += (tries - found) * l.MaxPerTry
 	op := ledger.Op{
 		Kind:    ledger.Bill,
 		Request: l.Request,
@@ -63,8 +63,8 @@
 
 // served cancels the tries of an attempt at all engines of its model, and sums
 // what they served. found is the number of tries that an engine knew.
-func (c *Controller) served(ctx context.Context, l ledger.Left) (tokens, found int64) {
-	for try := int64(1); try <= l.Worst/l.Cap; try++ {
+func (c *Controller) served(ctx context.Context, l ledger.UnbilledAttempt) (tokens, found int64) {
+	for try := int64(1); try <= l.Worst/l.MaxPerTry; try++ {
 		id := l.Claim + "." + strconv.FormatInt(try, 10)
 		if n, ok := c.servedTry(ctx, l.Target, id); ok {
 			tokens += n
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,11 +1,13 @@
-// Package ledger decides about claims and billing records.
+// Package ledger decides claims and records bills for requests.
 //
-// Requests hash to shards. A shard is an append log of segments in the store,
-// written by group commit with conditional updates. The conditional update is
-// the fence: two routers that both believe to own a shard cannot both commit,
-// and the one that fails reads the log again before it decides anything.
+// Requests are hashed to shards. A shard is an append-only log of segments in
+// the store, written by group commit with conditional updates. The conditional
+// update fences concurrent owners: if two routers both act as owner of a shard,
+// only one commit succeeds, and the other router reads the log again before it
+// decides anything.
 //
-// The package is pure: callers pass the time and carry out the effects.
+// The package does no I/O and reads no clock: callers pass the time and carry
+// out the returned effects.
 package ledger
 
 import (
@@ -18,62 +20,63 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// OpKind is the kind of a log item.
+// OpKind is the kind of a log entry.
 type OpKind string
 
-// The kinds of log items.
+// The kinds of log entries.
 const (
 	// Claim asks to run an attempt of a request.
 	Claim OpKind = "claim"
-	// Bill records what an attempt came to.
+	// Bill records the result of an attempt and the tokens it served.
 	Bill OpKind = "bill"
-	// Withdraw takes back a claim that certainly did not run.
+	// Withdraw cancels a claim whose attempt was certainly not dispatched.
 	Withdraw OpKind = "withdraw"
-	// Fence refuses all further claims of a holder that is taken to be dead,
-	// and charges its running attempts at their worst case.
+	// Fence rejects all further claims of a holder that is presumed dead, and
+	// charges its running attempts at their worst case.
 	Fence OpKind = "fence"
 )
 
-// Op is one item of the log, and the message that asks for it.
+// Op is one log entry, and also the message that requests it.
 type Op struct {
 	Kind OpKind `msgpack:"k"`
 	// Request identifies the request: account and idempotency key, or a
-	// number of its own.
+	// generated unique ID.
 	Request string `msgpack:"r"`
 	// Claim is unique to one caller connection, so that a repeated message
-	// is recognised.
+	// can be deduplicated.
 	Claim string `msgpack:"c,omitempty"`
 	// Holder is the incarnation of the router that serves the connection,
-	// and Instance its instance.
+	// and Instance is that router's instance.
 	Holder   string `msgpack:"h,omitempty"`
 	Instance string `msgpack:"i,omitempty"`
-	// Account and Budget say who pays.
+	// Account and Budget are charged for the request.
 	Account string `msgpack:"a,omitempty"`
 	Budget  string `msgpack:"b,omitempty"`
 	// Target is the model or service.
 	Target string `msgpack:"m,omitempty"`
-	// Digest is a hash of the body.
+	// Digest is a hash of the request body.
 	Digest uint64 `msgpack:"d,omitempty"`
 	// NotRepeatable marks a request that runs at most once.
 	NotRepeatable bool `msgpack:"n,omitempty"`
-	// Attempt is the attempt's number.
+	// Attempt is the number of the attempt.
 	Attempt int `msgpack:"t,omitempty"`
-	// Worst is the most that the tries of the attempt so far may cost, in
-	// tokens. A claim repeated with a higher one allows another try.
+	// Worst is the maximum cost, in tokens, of all tries of the attempt so
+	// far. Repeating a claim with a higher value allows another try.
 	Worst int64 `msgpack:"x,omitempty"`
-	// Supersede names a holder that does not run the request any more.
+	// Supersede names a holder that no longer runs the request.
 	Supersede string `msgpack:"s,omitempty"`
-	// Durable asks that the claim is committed before it is answered.
+	// Durable requires that the claim is committed before it is answered.
 	Durable bool `msgpack:"-"`
-	// Tokens are the tokens served, Code the result.
+	// Tokens is the number of tokens served, and Code the result.
 	Tokens int64 `msgpack:"n2,omitempty"`
 	Code   int   `msgpack:"o,omitempty"`
-	// Answer is kept for a not-repeatable request if it is small.
+	// Answer is the response body, kept for a not-repeatable request if it is
+	// small.
 	Answer     []byte `msgpack:"w,omitempty"`
 	AnswerType string `msgpack:"wt,omitempty"`
 }
 
-// Verdict is the decision about an op.
+// Verdict is the decision on an op.
 type Verdict string
 
 // The verdicts.
@@ -82,52 +85,53 @@
 	Run Verdict = "run"
 	// Busy: another connection runs the request; see Outcome.Holder.
 	Busy Verdict = "busy"
-	// Finished: the not-repeatable request has its outcome.
+	// Finished: the not-repeatable request has completed.
 	Finished Verdict = "finished"
 	// Unresolved: the not-repeatable request was dispatched by a router that
-	// is gone, so that nobody knows its outcome.
+	// is gone, so its outcome is unknown.
 	Unresolved Verdict = "unresolved"
-	// Mismatch: the key was used with another body.
+	// Mismatch: the idempotency key was used with a different body.
 	Mismatch Verdict = "mismatch"
-	// Down: the store did not take the claim; it is withdrawn.
-	Down Verdict = "down"
+	// StoreDown: the store did not accept the claim or fence; a claim is withdrawn.
+	StoreDown Verdict = "down"
 	// Recorded: the bill or withdrawal is committed.
 	Recorded Verdict = "recorded"
-	// Held: the bill is held in memory until the store is back.
-	Held Verdict = "held"
-	// Fenced: the holder is taken to be dead and must stop.
+	// Buffered: the bill is buffered in memory until the store is available again.
+	Buffered Verdict = "held"
+	// Fenced: the holder is presumed dead and must stop.
 	Fenced Verdict = "fenced"
 )
 
-// Outcome answers an op.
+// Outcome is the answer to an op.
 type Outcome struct {
 	Verdict Verdict
 	// Attempt is the number of the attempt to run.
 	Attempt int
-	// Holder and Instance name the router that runs a busy request, and Claim
-	// the connection.
+	// Holder and Instance identify the router that runs a busy request, and
+	// Claim identifies the caller connection.
 	Holder, Instance, Claim string
-	// Code, Answer and AnswerType are a finished request's.
+	// Code, Answer and AnswerType are the result of a finished request.
 	Code       int
 	Answer     []byte
 	AnswerType string
-	// Totals answers a Fence: the tokens charged by budget in this shard.
+	// Totals is set for a Fence: the tokens charged in this shard, by budget.
 	Totals map[string]int64
-	// Left answers a Fence: the holder's attempts that are charged their
-	// worst case, since nobody has said what they served.
-	Left []Left
+	// Unbilled is set for a Fence: the holder's attempts that are charged their
+	// worst case because no bill has reported what they served.
+	Unbilled []UnbilledAttempt
 }
 
-// Left is an attempt that a dead holder left.
-type Left struct {
+// UnbilledAttempt is an attempt of a fenced holder for which no bill was recorded.
+type UnbilledAttempt struct {
 	Request, Claim          string
 	Account, Budget, Target string
 	Attempt                 int
-	// Cap is the worst case of one try, Worst of all that were claimed.
-	Cap, Worst int64
+	// MaxPerTry is the maximum cost of one try in tokens, and Worst that of all
+	// claimed tries.
+	MaxPerTry, Worst int64
 }
 
-// Record is what a shard knows of one request.
+// Record is the state of one request in a shard.
 type Record struct {
 	Account, Budget  string
 	Target           string
@@ -136,32 +140,33 @@
 	Digest           uint64
 	NotRepeatable    bool
 	Attempt          int
-	Cap, Worst       int64
+	MaxPerTry, Worst int64
 	Running          bool
 	Billed           bool
-	// Lost tells that the only run of a not-repeatable request was left by a
-	// dead holder.
-	Lost       bool
-	Code       int
-	Answer     []byte
-	AnswerType string
-	charges    map[string]charge // by claim, which names one attempt
-	touched    time.Time
+	// OutcomeUnknown is set when the holder of a not-repeatable request was fenced while
+	// the request was running, so that its outcome is unknown.
+	OutcomeUnknown bool
+	Code           int
+	Answer         []byte
+	AnswerType     string
+	charges        map[string]charge // by claim; a claim identifies one attempt
+	lastUsed       time.Time
 }
 
-// charge is what an attempt is charged: its bill, or its worst case while
-// nothing better is known.
+// charge is the amount charged for an attempt: its billed tokens, or its worst
+// case until a bill is recorded.
 type charge struct {
-	tokens  int64
-	final   bool
-	holder  string
-	attempt int
-	limit   int64 // the worst case of one try
+	tokens    int64
+	final     bool
+	holder    string
+	attempt   int
+	maxPerTry int64 // the maximum cost of one try, in tokens
 }
 
 // Batch is one group commit.
 type Batch struct {
-	// ID is unique, so that a commit whose answer was lost is recognised.
+	// ID is unique, so that a commit whose answer was lost can be found when
+	// the log is read again.
 	ID  string `msgpack:"id"`
 	Ops []Op   `msgpack:"ops"`
 }
@@ -173,14 +178,15 @@
 	Batches []Batch `msgpack:"b"`
 }
 
-// storedSegment is a segment as it is read: one without a number is none.
+// storedSegment is the decoding form of Segment. Its Number is a pointer so that
+// a value without a number can be rejected.
 type storedSegment struct {
 	Number  *int    `msgpack:"n"`
 	Sealed  bool    `msgpack:"s"`
 	Batches []Batch `msgpack:"b"`
 }
 
-// Encode returns the stored form.
+// Encode returns the segment in its stored form.
 func (s *Segment) Encode() []byte {
 	value, err := msgpack.Marshal(s)
 	if err != nil {
@@ -189,11 +195,13 @@
 	return value
 }
 
-// errNoSegment is a value that is no segment, or more than one. Taken as an
-// empty or as the first one, it would let requests run and be billed again.
-var errNoSegment = errors.New("ledger segment: not one segment")
+// errNotOneSegment reports a stored value that is not exactly one segment. Reading
+// such a value as an empty segment, or as only the first of several, would let
+// requests run and be billed again.
+var errNotOneSegment = errors.New("ledger segment: value is not exactly one segment")
 
-// DecodeSegment reads a segment from its stored form.
+// DecodeSegment decodes a segment from its stored form. It rejects truncated
+// values and trailing bytes.
 func DecodeSegment(value []byte) (*Segment, error) {
 	var s storedSegment
 	r := bytes.NewReader(value)
@@ -201,17 +209,17 @@
 		return nil, fmt.Errorf("ledger segment: %w", err)
 	}
 	if s.Number == nil || r.Len() > 0 {
-		return nil, errNoSegment
+		return nil, errNotOneSegment
 	}
 	return &Segment{Number: *s.Number, Sealed: s.Sealed, Batches: s.Batches}, nil
 }
 
-// ShardOf returns the shard of a request.
+// ShardOf returns the number of the shard that a request hashes to.
 func ShardOf(request string, shards int) int {
 	return int(xxhash.Sum64String(request) % uint64(shards))
 }
 
-// Role returns the name under which a shard's owner is ranked.
+// Role returns the role name by which routers are ranked as owners of a shard.
 func Role(shard int) string {
 	return fmt.Sprintf("ledger/%d", shard)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -10,7 +10,7 @@
 	"github.com/gaplink/gaplink/ledger"
 )
 
-// fakeLog is the store's side of one shard: segments with versions.
+// fakeLog is an in-memory store of the versioned segments of one shard.
 type fakeLog struct {
 	segments map[int]*ledger.Segment
 	versions map[int]int64
@@ -21,7 +21,7 @@
 	return &fakeLog{segments: map[int]*ledger.Segment{}, versions: map[int]int64{}}
 }
 
-// put applies an append if its condition holds.
+// put applies an append if the expected version matches.
 func (l *fakeLog) put(a ledger.Append) (int64, bool) {
 	if l.versions[a.Segment.Number] != a.Version {
 		return 0, false
@@ -42,7 +42,7 @@
 	return list, version
 }
 
-// ops returns the whole log in order.
+// ops returns all ops of the log in order.
 func (l *fakeLog) ops() []ledger.Op {
 	var ops []ledger.Op
 	segments, _ := l.list()
@@ -54,34 +54,34 @@
 	return ops
 }
 
-// writer is one router that acts for the shard.
+// writer is one router that acts as owner of the shard.
 type writer struct {
 	name    string
 	shard   *ledger.Shard
 	effects []ledger.Effect
 }
 
-// world drives two writers over one log with faults.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	log     *fakeLog
-	writers []*writer
-	delayed []ledger.Append // sent, answer lost, not yet arrived
-	token   uint64
-	asked   map[uint64]ledger.Op
-	replies map[uint64]ledger.Outcome
-	runs    map[string]int // not-repeatable: Run verdicts less withdrawals
+// simulation drives two writers on one log and injects faults.
+type simulation struct {
+	t         *rapid.T
+	now       time.Time
+	log       *fakeLog
+	writers   []*writer
+	delayed   []ledger.Append // reported as lost and not yet applied by the store
+	token     uint64
+	submitted map[uint64]ledger.Op
+	replies   map[uint64]ledger.Outcome
+	runs      map[string]int // number of Run verdicts per not-repeatable request
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
-		t:       t,
-		now:     time.Unix(1000, 0),
-		log:     newFakeLog(),
-		asked:   map[uint64]ledger.Op{},
-		replies: map[uint64]ledger.Outcome{},
-		runs:    map[string]int{},
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
+		t:         t,
+		now:       time.Unix(1000, 0),
+		log:       newFakeLog(),
+		submitted: map[uint64]ledger.Op{},
+		replies:   map[uint64]ledger.Outcome{},
+		runs:      map[string]int{},
 	}
 	for i := range 2 {
 		w.addWriter(fmt.Sprintf("w%d", i))
@@ -89,14 +89,14 @@
 	return w
 }
 
-func (w *world) addWriter(name string) {
+func (w *simulation) addWriter(name string) {
 	cfg := ledger.DefaultConfig()
 	cfg.Owner = name
 	cfg.SegmentBytes = 400
 	w.writers = append(w.writers, &writer{name: name, shard: ledger.NewShard(cfg)})
 }
 
-func (w *world) take(wr *writer, effects []ledger.Effect) {
+func (w *simulation) handle(wr *writer, effects []ledger.Effect) {
 	for _, e := range effects {
 		if r, ok := e.(ledger.Reply); ok {
 			w.reply(r)
@@ -106,24 +106,24 @@
 	}
 }
 
-func (w *world) reply(r ledger.Reply) {
+func (w *simulation) reply(r ledger.Reply) {
 	if _, twice := w.replies[r.Token]; twice {
-		w.t.Fatalf("op %d answered twice", r.Token)
+		w.t.Fatalf("op %d was answered twice", r.Token)
 	}
 	w.replies[r.Token] = r.Outcome
-	op := w.asked[r.Token]
+	op := w.submitted[r.Token]
 	if op.NotRepeatable && op.Kind == ledger.Claim && r.Outcome.Verdict == ledger.Run {
 		w.runs[op.Request]++
 		if w.runs[op.Request] > 1 {
-			w.t.Fatalf("not-repeatable %s may run twice", op.Request)
+			w.t.Fatalf("not-repeatable request %s may run twice", op.Request)
 		}
 	}
-	if op.Kind == ledger.Bill && r.Outcome.Verdict == ledger.Recorded && !w.logged(op) {
-		w.t.Fatalf("bill %+v answered recorded and not in the log", op)
+	if op.Kind == ledger.Bill && r.Outcome.Verdict == ledger.Recorded && !w.billLogged(op) {
+		w.t.Fatalf("bill %+v was answered Recorded but is not in the log", op)
 	}
 }
 
-func (w *world) logged(op ledger.Op) bool {
+func (w *simulation) billLogged(op ledger.Op) bool {
 	for _, l := range w.log.ops() {
 		if l.Kind == ledger.Bill && l.Request == op.Request && l.Claim == op.Claim {
 			return true
@@ -132,14 +132,14 @@
 	return false
 }
 
-func (w *world) submit(wr *writer, op ledger.Op) {
+func (w *simulation) submit(wr *writer, op ledger.Op) {
 	w.token++
-	w.asked[w.token] = op
-	w.take(wr, wr.shard.Submit(w.now, op, w.token))
+	w.submitted[w.token] = op
+	w.handle(wr, wr.shard.Submit(w.now, op, w.token))
 }
 
-// answer carries out the oldest effect of a writer with a fate.
-func (w *world) answer(wr *writer, fate string) {
+// perform carries out the oldest pending effect of a writer with the given store result.
+func (w *simulation) perform(wr *writer, storeResult string) {
 	if len(wr.effects) == 0 {
 		return
 	}
@@ -147,39 +147,39 @@
 	wr.effects = wr.effects[1:]
 	switch e := e.(type) {
 	case ledger.Load:
-		if fate != "done" {
-			w.take(wr, wr.shard.Loaded(w.now, nil, 0, ledger.Unavailable))
+		if storeResult != "done" {
+			w.handle(wr, wr.shard.Loaded(w.now, nil, 0, ledger.Unavailable))
 			return
 		}
 		segments, version := w.log.list()
-		w.take(wr, wr.shard.Loaded(w.now, segments, version, ledger.Done))
+		w.handle(wr, wr.shard.Loaded(w.now, segments, version, ledger.Done))
 	case ledger.Append:
-		w.append(wr, e, fate)
+		w.append(wr, e, storeResult)
 	}
 }
 
-func (w *world) append(wr *writer, a ledger.Append, fate string) {
-	switch fate {
+func (w *simulation) append(wr *writer, a ledger.Append, storeResult string) {
+	switch storeResult {
 	case "unavailable":
-		w.take(wr, wr.shard.Appended(w.now, 0, ledger.Unavailable))
+		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.Unavailable))
 	case "late":
 		w.delayed = append(w.delayed, a)
-		w.take(wr, wr.shard.Appended(w.now, 0, ledger.Lost))
+		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.Lost))
 	case "lost":
 		w.log.put(a)
-		w.take(wr, wr.shard.Appended(w.now, 0, ledger.Lost))
+		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.Lost))
 	default:
 		version, ok := w.log.put(a)
 		result := ledger.Done
 		if !ok {
 			result = ledger.Conflict
 		}
-		w.take(wr, wr.shard.Appended(w.now, version, result))
+		w.handle(wr, wr.shard.Appended(w.now, version, result))
 	}
 }
 
-// arrive lets a delayed write reach the store.
-func (w *world) arrive() {
+// deliverDelayed applies the oldest delayed write to the store.
+func (w *simulation) deliverDelayed() {
 	if len(w.delayed) == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 	w.delayed = w.delayed[1:]
 }
 
-func (w *world) check() {
+func (w *simulation) check() {
 	bills := map[string]int{}
 	for _, op := range w.log.ops() {
 		if op.Kind != ledger.Bill {
@@ -196,35 +196,35 @@
 		id := op.Request + " " + op.Claim
 		bills[id]++
 		if bills[id] > 1 {
-			w.t.Fatalf("%s billed twice in the log", id)
+			w.t.Fatalf("%s was billed twice in the log", id)
 		}
 	}
 }
 
-// settle lets everything finish without further faults.
-func (w *world) settle() {
+// finish completes all outstanding work without further faults.
+func (w *simulation) finish() {
 	for range 50 {
 		w.now = w.now.Add(time.Second)
-		w.arrive()
+		w.deliverDelayed()
 		for _, wr := range w.writers {
-			w.take(wr, wr.shard.Tick(w.now))
+			w.handle(wr, wr.shard.Tick(w.now))
 			for len(wr.effects) > 0 {
-				w.answer(wr, "done")
+				w.perform(wr, "done")
 			}
 		}
 	}
 }
 
-// TestShardUnderFaults drives two writers of one shard at random through lost
-// answers, late arrivals, outages and conflicts.
+// TestShardUnderFaults drives two writers of one shard through random sequences
+// of lost answers, delayed writes, store outages and conflicts.
 func TestShardUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		wr := rapid.SampledFrom([]int{0, 1})
 		request := rapid.SampledFrom([]string{"k/a/1", "k/a/2", "k/a/3"})
 		holder := rapid.SampledFrom([]string{"h", "g"})
 		superseded := rapid.SampledFrom([]string{"", "h", "g"})
-		fates := rapid.SampledFrom([]string{"done", "done", "done", "unavailable", "lost", "late"})
+		storeResults := rapid.SampledFrom([]string{"done", "done", "done", "unavailable", "lost", "late"})
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(t *rapid.T) {
 				r := request.Draw(t, "request")
@@ -243,32 +243,33 @@
 				})
 			},
 			"answer": func(t *rapid.T) {
-				w.answer(w.writers[wr.Draw(t, "writer")], fates.Draw(t, "fate"))
+				w.perform(w.writers[wr.Draw(t, "writer")], storeResults.Draw(t, "fate"))
 			},
-			"arrive": func(*rapid.T) { w.arrive() },
+			"arrive": func(*rapid.T) { w.deliverDelayed() },
 			"tick": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 				for _, wr := range w.writers {
-					w.take(wr, wr.shard.Tick(w.now))
+					w.handle(wr, wr.shard.Tick(w.now))
 				}
 			},
 			"": func(*rapid.T) { w.check() },
 		})
-		w.settle()
+		w.finish()
 		w.check()
-		for token, op := range w.asked {
+		for token, op := range w.submitted {
 			if _, ok := w.replies[token]; !ok {
-				t.Fatalf("op %d (%s) never answered", token, op.Kind)
+				t.Fatalf("op %d (%s) was never answered", token, op.Kind)
 			}
-			if op.Kind == ledger.Bill && !w.logged(op) {
-				t.Fatalf("bill %+v lost", op)
+			if op.Kind == ledger.Bill && !w.billLogged(op) {
+				t.Fatalf("bill %+v was lost", op)
 			}
 		}
 	})
 }
 
-// TestClaimAfterItsBill is the case of a witness that commits a claim when the
-// attempt was billed elsewhere long ago: it must not count as another attempt.
+// TestClaimAfterItsBill guards against counting an attempt twice when a router
+// that accepted a claim in memory commits it long after the attempt was billed
+// through another router.
 func TestClaimAfterItsBill(t *testing.T) {
 	now := time.Unix(1000, 0)
 	claim := ledger.Op{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "h", Budget: "b", Attempt: 1, Worst: 40}
--- a/ledger/segment_test.go
+++ b/ledger/segment_test.go
@@ -8,10 +8,10 @@
 	"github.com/gaplink/gaplink/ledger"
 )
 
-// TestSegmentIsWholeOrNone: a nil and an empty map were read as a segment
-// without batches, and bytes behind a segment were not looked at. What is lost
-// of a log is claimed and billed anew.
-func TestSegmentIsWholeOrNone(t *testing.T) {
+// TestDecodeSegmentAcceptsExactlyOneSegment guards against reading a nil value or
+// an empty map as a segment without batches, and against ignoring bytes after a
+// segment. Requests in the lost part of a log would be claimed and billed again.
+func TestDecodeSegmentAcceptsExactlyOneSegment(t *testing.T) {
 	segment := ledger.Segment{Number: 3, Sealed: true, Batches: []ledger.Batch{
 		{ID: "b1", Ops: []ledger.Op{{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "r/1", Worst: 40}}},
 		{ID: "b2", Ops: []ledger.Op{{Kind: ledger.Bill, Request: "k/a/1", Claim: "c1", Tokens: 12, Answer: []byte("x")}}},
@@ -19,13 +19,13 @@
 	whole := segment.Encode()
 	for n := range len(whole) {
 		if _, err := ledger.DecodeSegment(whole[:n]); err == nil {
-			t.Fatalf("cut at %d of %d", n, len(whole))
+			t.Fatalf("segment truncated to %d of %d bytes was decoded", n, len(whole))
 		}
 	}
 	const null, emptyMap = "\xc0", "\x80"
 	for _, other := range []string{null, emptyMap, string(whole) + "\xc0", string(whole) + string(whole)} {
 		if got, err := ledger.DecodeSegment([]byte(other)); err == nil {
-			t.Errorf("%q is a segment: %+v", other, got)
+			t.Errorf("%q was decoded as a segment: %+v", other, got)
 		}
 	}
 	first := ledger.Segment{Batches: []ledger.Batch{}}
@@ -36,11 +36,11 @@
 	}
 }
 
-// TestLogWithAHoleIsNotRead: a shard read a list of segments that lacked one as
-// the whole log, and let a request that runs at most once run again if its claim
-// was in the missing one; the conditional update fences only the last segment.
-// Nothing checked the numbers.
-func TestLogWithAHoleIsNotRead(t *testing.T) {
+// TestIncompleteLogIsNotLoaded guards against loading a log with a missing
+// segment. The segment numbers were not checked, and the conditional update fences
+// only the last segment, so a not-repeatable request whose claim was in the missing
+// segment could run again.
+func TestIncompleteLogIsNotLoaded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ran := ledger.Op{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "r/1", NotRepeatable: true, Attempt: 1}
 	other := ledger.Op{Kind: ledger.Fence, Holder: "r/0"}
@@ -74,7 +74,7 @@
 			}
 		}
 		if appended || busy != c.ok {
-			t.Errorf("%s: appended %t, known to run %t", name, appended, busy)
+			t.Errorf("%s: appended %t, recognised as running %t", name, appended, busy)
 		}
 	}
 }
--- a/ledger/shard.go
+++ b/ledger/shard.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Effect is something the caller of a Shard must do.
+// Effect is an action that the caller of a Shard must carry out.
 type Effect interface{ effect() }
 
-// Load reads all segments of the shard and calls Loaded.
+// Load asks the caller to read all segments of the shard and call Loaded.
 type Load struct{ Shard int }
 
-// Append writes a segment (a create for version 0) and calls Appended.
+// Append asks the caller to write a segment and call Appended. Version 0 means
+// that the segment is created.
 type Append struct {
 	Shard   int
 	Version int64
 	Segment *Segment
 }
 
-// Reply answers the op submitted under Token.
+// Reply is the answer to the op submitted with Token.
 type Reply struct {
 	Token   uint64
 	Outcome Outcome
@@ -29,39 +30,44 @@
 func (Append) effect() {}
 func (Reply) effect()  {}
 
-// Result is what a store call came to.
+// Result is the result of a store call.
 type Result int
 
 // The results of a store call.
 const (
 	Done Result = iota
+	// Conflict: the condition of the write did not hold.
 	Conflict
+	// Unavailable: the call certainly had no effect.
 	Unavailable
+	// Lost: the answer was lost; the write may have taken effect.
 	Lost
 )
 
-// Config are the settings of a shard.
+// Config holds the settings of a shard.
 type Config struct {
-	// Shard is its number.
+	// Shard is the number of the shard.
 	Shard int
 	// Owner is the incarnation of this router.
 	Owner string
-	// Spacing is the least time between two commits.
+	// Spacing is the minimum time between two commits.
 	Spacing time.Duration
-	// Linger is the least time between two commits for bills alone, and how
-	// long a claim that nobody waits for may stay in memory.
+	// Linger is the minimum time between two commits when only bills are
+	// waiting, and the maximum time for which an op that has already been
+	// answered stays in memory before it is committed.
 	Linger time.Duration
-	// SegmentBytes seals a segment that has grown so large.
+	// SegmentBytes is the estimated size in bytes at which a segment is sealed.
 	SegmentBytes int
-	// BatchOps bounds one commit.
+	// BatchOps is the maximum number of ops in one commit.
 	BatchOps int
-	// Retention is how long a finished request's record is kept in memory.
+	// Retention is how long the record of a finished request is kept in memory.
 	Retention time.Duration
-	// StoreRetry is the pause after the store was unavailable.
+	// StoreRetry is the delay before the next store call after the store was
+	// unavailable.
 	StoreRetry time.Duration
 }
 
-// DefaultConfig returns the settings used when an operator names none.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		Spacing:      20 * time.Millisecond,
@@ -73,91 +79,91 @@
 	}
 }
 
-// entry is an op on its way into the log.
-type entry struct {
-	op      Op
-	token   uint64
-	at      time.Time
-	waiting bool // its reply is due at the commit
-	outcome Outcome
-	dead    bool // a claim that was answered Down
-	applied bool // the op is part of the state
+// queuedOp is an op that is queued for the log.
+type queuedOp struct {
+	op        Op
+	token     uint64
+	queuedAt  time.Time
+	waiting   bool // the reply is sent when the op is committed
+	outcome   Outcome
+	withdrawn bool // answered StoreDown although its batch may be in the log
+	applied   bool // the op has been applied to the state
 }
 
-// undecide forgets the decision about a claim that is not in the log after
-// all: it is decided anew.
-func (e *entry) undecide() {
+// resetDecision clears the attempt number of a claim whose batch turned out not
+// to be in the log, so that the claim is decided again.
+func (e *queuedOp) resetDecision() {
 	if e.op.Kind == Claim {
 		e.op.Attempt = 0
 	}
 }
 
-// phase is how far the shard's log is known here.
+// phase is the progress of loading the shard's log.
 type phase int
 
 const (
-	cold phase = iota
+	notLoaded phase = iota
 	loading
 	ready
 )
 
-// Shard is one router's side of a ledger shard. Any router may act for any
-// shard; only the store decides whose commits stand. It is not safe for
-// concurrent use.
+// Shard is the state machine by which one router acts as owner of a ledger
+// shard. Any router may act as owner of any shard; the store's conditional
+// updates decide whose commits succeed. A Shard is not safe for concurrent use.
 type Shard struct {
-	cfg     Config
-	phase   phase
-	loaded  bool // the log was read at least once
-	state   *state
-	segment *Segment
-	version int64
-	pending []*entry
-	flight  []*entry
-	next    *Segment // the segment in flight
-	batchID string
-	batches int
-	lastAt  time.Time
-	retryAt time.Time
-	out     []Effect
-}
-
-// NewShard returns a shard whose log is not yet read.
+	cfg        Config
+	phase      phase
+	loaded     bool // the log has been read at least once
+	state      *state
+	segment    *Segment
+	version    int64
+	pending    []*queuedOp
+	inFlight   []*queuedOp
+	writing    *Segment // the segment being written
+	batchID    string
+	batches    int
+	lastCommit time.Time
+	retryAt    time.Time
+	effects    []Effect
+}
+
+// NewShard returns a shard whose log has not been read yet.
 func NewShard(cfg Config) *Shard {
 	return &Shard{cfg: cfg, state: newState()}
 }
 
-func (s *Shard) emit(e Effect) { s.out = append(s.out, e) }
+func (s *Shard) emit(e Effect) { s.effects = append(s.effects, e) }
 
-func (s *Shard) drain() []Effect {
-	out := s.out
-	s.out = nil
+func (s *Shard) takeEffects() []Effect {
+	out := s.effects
+	s.effects = nil
 	return out
 }
 
-// Submit asks for an op. The answer is a Reply effect with the token, now or
-// later.
+// Submit queues or decides an op. The answer is a Reply effect with the same
+// token, returned by this call or by a later one.
 func (s *Shard) Submit(now time.Time, op Op, token uint64) []Effect {
-	e := &entry{op: op, token: token, at: now, waiting: true}
-	if s.loaded && !s.waits(op) {
-		s.answerNow(now, e)
+	e := &queuedOp{op: op, token: token, queuedAt: now, waiting: true}
+	if s.loaded && !s.needsCommit(op) {
+		s.answerFromMemory(now, e)
 	} else {
 		s.pending = append(s.pending, e)
 	}
 	if now.Before(s.retryAt) {
-		s.storeDown(now)
+		s.answerStoreDown(now)
 	}
 	s.advance(now)
-	return s.drain()
+	return s.takeEffects()
 }
 
-// waits tells whether the op is answered only when it is committed.
-func (s *Shard) waits(op Op) bool {
+// needsCommit reports whether the op is answered only after it is committed.
+func (s *Shard) needsCommit(op Op) bool {
 	return op.Kind == Bill || op.Kind == Fence || op.Kind == Claim && op.Durable
 }
 
-// answerNow decides a soft op on the state in memory; its item goes into the
-// log with the next commit.
-func (s *Shard) answerNow(now time.Time, e *entry) {
+// answerFromMemory decides an op that need not be durable from the in-memory
+// state. An op that changes the state is queued for the next commit.
+func (s *Shard) answerFromMemory(now time.Time, e *queuedOp) {
 	outcome, log := s.state.apply(now, e.op)
 	e.waiting = false
 	s.emit(Reply{Token: e.token, Outcome: outcome})
@@ -167,36 +173,37 @@
 	}
 }
 
-// Tick starts what has become due.
+// Tick starts a load or a commit that has become due.
 func (s *Shard) Tick(now time.Time) []Effect {
 	s.advance(now)
-	return s.drain()
+	return s.takeEffects()
 }
 
-// Forget drops old finished records from memory.
-func (s *Shard) Forget(now time.Time) {
-	s.state.forget(now.Add(-s.cfg.Retention))
+// EvictFinished removes finished records older than Retention from memory.
+func (s *Shard) EvictFinished(now time.Time) {
+	s.state.evict(now.Add(-s.cfg.Retention))
 }
 
-// Records returns the number of requests known here.
+// Records returns the number of request records in memory.
 func (s *Shard) Records() int { return len(s.state.records) }
 
-// Idle tells whether nothing waits to be committed.
-func (s *Shard) Idle() bool { return len(s.pending)+len(s.flight) == 0 }
+// Idle reports whether no op is queued or being committed.
+func (s *Shard) Idle() bool { return len(s.pending)+len(s.inFlight) == 0 }
 
-// Due returns when Tick has something to do next; the zero time means never.
+// Due returns the time at which Tick next has work to do. The zero time means
+// that nothing is scheduled.
 func (s *Shard) Due() time.Time {
-	if s.flight != nil || s.phase == loading || len(s.pending) == 0 {
+	if s.inFlight != nil || s.phase == loading || len(s.pending) == 0 {
 		return time.Time{}
 	}
-	due := s.pending[0].at.Add(s.cfg.Linger)
-	switch s.awaited() {
+	due := s.pending[0].queuedAt.Add(s.cfg.Linger)
+	switch s.mostUrgent() {
 	case Claim, Fence:
-		due = s.lastAt.Add(s.cfg.Spacing)
+		due = s.lastCommit.Add(s.cfg.Spacing)
 	case Bill:
-		due = s.lastAt.Add(s.cfg.Linger)
+		due = s.lastCommit.Add(s.cfg.Linger)
 	}
-	return latest(due, s.pending[0].at, s.lastAt.Add(s.cfg.Spacing), s.retryAt)
+	return latest(due, s.pending[0].queuedAt, s.lastCommit.Add(s.cfg.Spacing), s.retryAt)
 }
 
 func latest(times ...time.Time) time.Time {
@@ -209,9 +216,9 @@
 	return t
 }
 
-// awaited returns the most urgent kind of op that somebody waits for; empty if
-// nobody waits.
-func (s *Shard) awaited() OpKind {
+// mostUrgent returns the kind of the most urgent pending op whose caller waits for
+// the commit, or "" if no caller waits.
+func (s *Shard) mostUrgent() OpKind {
 	var kind OpKind
 	for _, e := range s.pending {
 		if !e.waiting {
@@ -226,12 +233,12 @@
 }
 
 func (s *Shard) advance(now time.Time) {
-	if s.phase == cold && !s.Idle() && !now.Before(s.retryAt) {
+	if s.phase == notLoaded && !s.Idle() && !now.Before(s.retryAt) {
 		s.phase = loading
 		s.emit(Load{Shard: s.cfg.Shard})
 		return
 	}
-	if s.phase != ready || s.next != nil {
+	if s.phase != ready || s.writing != nil {
 		return
 	}
 	if due := s.Due(); !due.IsZero() && !now.Before(due) {
@@ -239,7 +246,7 @@
 	}
 }
 
-// commit decides all pending ops on the state and writes their batch.
+// commit decides up to BatchOps pending ops and writes them as one batch.
 func (s *Shard) commit(now time.Time) {
 	take := min(len(s.pending), s.cfg.BatchOps)
 	ops := make([]Op, 0, take)
@@ -247,7 +254,7 @@
 		if op, ok := s.decide(now, e); ok {
 			ops = append(ops, op)
 		}
-		s.flight = append(s.flight, e)
+		s.inFlight = append(s.inFlight, e)
 	}
 	s.pending = s.pending[take:]
 	if len(ops) == 0 {
@@ -256,17 +263,17 @@
 	}
 	s.batches++
 	s.batchID = fmt.Sprintf("%s/%d", s.cfg.Owner, s.batches)
-	s.next = s.extend(Batch{ID: s.batchID, Ops: ops})
-	s.lastAt = now
-	s.emit(Append{Shard: s.cfg.Shard, Version: s.version, Segment: s.next})
+	s.writing = s.extend(Batch{ID: s.batchID, Ops: ops})
+	s.lastCommit = now
+	s.emit(Append{Shard: s.cfg.Shard, Version: s.version, Segment: s.writing})
 }
 
-// decide applies a waiting op; one that changes nothing stays out of the log.
-// A repeated bill is answered with the batch all the same, since the first
-// one may be in it.
-func (s *Shard) decide(now time.Time, e *entry) (Op, bool) {
+// decide applies a waiting op and reports whether it belongs in the log. An op
+// that changes nothing is not logged. A repeated bill is still answered only
+// with the batch, because the original bill may be in that batch.
+func (s *Shard) decide(now time.Time, e *queuedOp) (Op, bool) {
 	if !e.waiting {
-		return e.op, !e.dead
+		return e.op, !e.withdrawn
 	}
 	outcome, log := s.state.apply(now, e.op)
 	e.outcome = outcome
@@ -284,9 +291,10 @@
 	return e.op, true
 }
 
-// extend returns the segment to write: the present one with one batch more,
-// or the next one after a sealed one. The commit that fills a segment seals
-// it, so that whoever creates the next one knows the whole log before it.
+// extend returns the segment to write: the current segment with one batch added,
+// or a new segment if the current one is sealed. The commit that fills a segment
+// also seals it, so that the router which creates the next segment has read the
+// whole log before it.
 func (s *Shard) extend(b Batch) *Segment {
 	next := &Segment{Batches: []Batch{b}}
 	if s.segment != nil {
@@ -302,7 +310,7 @@
 	return next
 }
 
-// size estimates a segment's encoded bytes.
+// size estimates the encoded size of a segment in bytes.
 func (s *Shard) size(seg *Segment) int {
 	const opBytes = 120
 	n := 0
@@ -314,35 +322,35 @@
 	return n
 }
 
-// Appended takes the answer of an Append.
+// Appended processes the result of an Append.
 func (s *Shard) Appended(now time.Time, version int64, result Result) []Effect {
 	switch result {
 	case Done:
-		s.segment, s.version = s.next, version
+		s.segment, s.version = s.writing, version
 		s.committed()
 	case Unavailable:
 		s.rollBack(now)
 	default:
-		// Conflict: another router commits here. Lost: the batch may be in
-		// the log. Both are settled by reading the log.
+		// Conflict: another router commits to this shard. Lost: the batch may
+		// be in the log. Reading the log resolves both.
 		s.phase = loading
 		s.emit(Load{Shard: s.cfg.Shard})
 	}
 	s.advance(now)
-	return s.drain()
+	return s.takeEffects()
 }
 
-// committed answers the batch in flight.
+// committed sends the replies for the batch in flight.
 func (s *Shard) committed() {
-	for _, e := range s.flight {
+	for _, e := range s.inFlight {
 		s.reply(e)
 	}
-	s.flight = nil
-	s.next = nil
+	s.inFlight = nil
+	s.writing = nil
 }
 
-// reply answers a committed entry that still waits.
-func (s *Shard) reply(e *entry) {
+// reply answers a committed entry whose reply is still pending.
+func (s *Shard) reply(e *queuedOp) {
 	if !e.waiting {
 		return
 	}
@@ -350,80 +358,82 @@
 	s.emit(Reply{Token: e.token, Outcome: e.outcome})
 }
 
-// rollBack puts a batch that certainly was not written back. Claims that wait
-// for it are answered Down and withdrawn; bills are held.
+// rollBack requeues a batch that was certainly not written. Waiting claims are
+// answered StoreDown and withdrawn; bills are buffered.
 func (s *Shard) rollBack(now time.Time) {
 	s.retryAt = now.Add(s.cfg.StoreRetry)
-	s.pending = append(s.flight, s.pending...)
-	s.flight = nil
-	s.next = nil
-	s.storeDown(now)
+	s.pending = append(s.inFlight, s.pending...)
+	s.inFlight = nil
+	s.writing = nil
+	s.answerStoreDown(now)
 }
 
-// storeDown answers everything that waits for the store.
-func (s *Shard) storeDown(now time.Time) {
+// answerStoreDown answers every pending entry that waits for the store.
+func (s *Shard) answerStoreDown(now time.Time) {
 	kept := s.pending[:0]
 	for _, e := range s.pending {
-		if s.holdDown(now, e) {
+		if s.answerEntryStoreDown(now, e) {
 			kept = append(kept, e)
 		}
 	}
 	s.pending = kept
 }
 
-// holdDown answers one entry while the store is down; false drops it.
-func (s *Shard) holdDown(now time.Time, e *entry) bool {
+// answerEntryStoreDown answers one entry while the store is unavailable. It
+// reports whether the entry stays pending.
+func (s *Shard) answerEntryStoreDown(now time.Time, e *queuedOp) bool {
 	if !e.waiting {
 		return true
 	}
 	e.waiting = false
 	if e.op.Kind == Fence {
-		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Down}})
+		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: StoreDown}})
 		return false
 	}
 	if e.op.Kind != Claim {
-		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Held}})
+		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Buffered}})
 		if !e.applied {
 			_, e.applied = s.state.apply(now, e.op)
 		}
-		return e.applied // a repeated bill is held once
+		return e.applied // a repeated bill is buffered only once
 	}
 	if e.op.Kind == Claim && !e.op.Durable {
-		return s.softWhileDown(now, e)
+		return s.claimFromMemory(now, e)
 	}
-	s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Down}})
+	s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: StoreDown}})
 	s.state.withdraw(Op{Request: e.op.Request, Claim: e.op.Claim})
 	return false
 }
 
-// softWhileDown answers a repeatable claim from memory when the log cannot be
-// read.
-func (s *Shard) softWhileDown(now time.Time, e *entry) bool {
+// claimFromMemory decides a claim that need not be durable from memory while the
+// log cannot be read.
+func (s *Shard) claimFromMemory(now time.Time, e *queuedOp) bool {
 	outcome, log := s.state.apply(now, e.op)
 	e.op.Attempt = outcome.Attempt
 	s.emit(Reply{Token: e.token, Outcome: outcome})
 	return log
 }
 
-// Loaded takes the answer of a Load: all segments of the shard and the
+// Loaded processes the result of a Load: all segments of the shard and the
 // version of the last one.
 func (s *Shard) Loaded(now time.Time, segments []*Segment, version int64, result Result) []Effect {
 	sort.Slice(segments, func(i, j int) bool { return segments[i].Number < segments[j].Number })
-	if result != Done || !IsWholeLog(segments) {
+	if result != Done || !IsCompleteLog(segments) {
 		s.loadFailed(now)
-		return s.drain()
+		return s.takeEffects()
 	}
 	s.rebuild(now, segments, version)
 	s.phase = ready
 	s.loaded = true
 	s.advance(now)
-	return s.drain()
+	return s.takeEffects()
 }
 
-// IsWholeLog tells whether segments in the order of their numbers are a log from
-// its start, each but the last sealed. What is missing before the last one would
-// be decided anew, and the conditional update of the last would not notice.
-func IsWholeLog(segments []*Segment) bool {
+// IsCompleteLog reports whether segments, sorted by number, are numbered from 0
+// without gaps and all but the last are sealed. The ops of a missing segment
+// would be decided again, and the conditional update of the last segment would
+// not detect that.
+func IsCompleteLog(segments []*Segment) bool {
 	last := len(segments) - 1
 	for i, seg := range segments {
 		if seg.Number != i || !seg.Sealed && i < last {
@@ -433,39 +443,41 @@
 	return true
 }
 
-// loadFailed keeps a lost batch as it is, answers what waits, and tries again
-// later.
+// loadFailed answers all waiting entries and schedules another load. A batch
+// whose write result is unknown stays in flight.
 func (s *Shard) loadFailed(now time.Time) {
-	s.phase = cold
+	s.phase = notLoaded
 	s.retryAt = now.Add(s.cfg.StoreRetry)
-	s.withdrawFlight()
-	s.storeDown(now)
+	s.withdrawInFlight()
+	s.answerStoreDown(now)
 }
 
-// withdrawFlight answers the claims of a batch of unknown fate Down, and
-// queues their withdrawal in case the batch is in the log.
-func (s *Shard) withdrawFlight() {
-	for _, e := range s.flight {
+// withdrawInFlight answers the waiting entries of a batch whose write result is
+// unknown: bills as buffered, claims and fences as StoreDown. It queues a
+// withdrawal for each claim in case the batch is in the log.
+func (s *Shard) withdrawInFlight() {
+	for _, e := range s.inFlight {
 		if !e.waiting {
 			continue
 		}
 		e.waiting = false
 		if e.op.Kind == Bill {
-			s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Held}})
+			s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Buffered}})
 			continue
 		}
-		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Down}})
-		e.dead = true
+		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: StoreDown}})
+		e.withdrawn = true
 		if e.op.Kind == Fence {
 			continue
 		}
 		withdrawal := e.op
 		withdrawal.Kind = Withdraw
-		s.pending = append(s.pending, &entry{op: withdrawal, at: e.at})
+		s.pending = append(s.pending, &queuedOp{op: withdrawal, queuedAt: e.queuedAt})
 	}
 }
 
-// rebuild replays the log and decides again what is not in it.
+// rebuild replays the log and requeues or decides again the ops that are not in
+// it.
 func (s *Shard) rebuild(now time.Time, segments []*Segment, version int64) {
 	s.state = newState()
 	s.segment, s.version = nil, version
@@ -473,14 +485,14 @@
 	for _, seg := range segments {
 		s.segment = seg
 		for _, b := range seg.Batches {
-			found = found || s.next != nil && b.ID == s.batchID
+			found = found || s.writing != nil && b.ID == s.batchID
 			s.replay(now, b)
 		}
 	}
-	if s.next != nil {
-		s.resolveFlight(found)
+	if s.writing != nil {
+		s.resolveInFlight(found)
 	}
-	s.reapplySoft(now)
+	s.reapplyPending(now)
 }
 
 func (s *Shard) replay(now time.Time, b Batch) {
@@ -489,26 +501,27 @@
 	}
 }
 
-// resolveFlight settles the batch in flight once the log is known.
-func (s *Shard) resolveFlight(found bool) {
+// resolveInFlight answers the batch in flight if it was found in the log, and
+// requeues it otherwise.
+func (s *Shard) resolveInFlight(found bool) {
 	if found {
 		s.committed()
 		return
 	}
-	back := make([]*entry, 0, len(s.flight)+len(s.pending))
-	for _, e := range s.flight {
-		if !e.dead {
+	back := make([]*queuedOp, 0, len(s.inFlight)+len(s.pending))
+	for _, e := range s.inFlight {
+		if !e.withdrawn {
 			back = append(back, e)
 		}
 	}
 	s.pending = append(back, s.pending...)
-	s.flight = nil
-	s.next = nil
+	s.inFlight = nil
+	s.writing = nil
 }
 
-// reapplySoft brings the already answered ops back into the state, and
-// decides the soft ones that waited for the log.
-func (s *Shard) reapplySoft(now time.Time) {
+// reapplyPending applies the ops that were already answered to the rebuilt state,
+// and decides the ops that waited only for the log to be loaded.
+func (s *Shard) reapplyPending(now time.Time) {
 	pending := s.pending
 	s.pending = nil
 	for _, e := range pending {
@@ -518,11 +531,11 @@
 			if _, log := s.state.apply(now, e.op); log {
 				s.pending = append(s.pending, e)
 			}
-		case s.waits(e.op):
-			e.undecide()
+		case s.needsCommit(e.op):
+			e.resetDecision()
 			s.pending = append(s.pending, e)
 		default:
-			s.answerNow(now, e)
+			s.answerFromMemory(now, e)
 		}
 	}
 }
