--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -1,5 +1,5 @@
-// Package budgets runs the budget agent: it carries its effects to the store
-// and to other routers.
+// Package budgets runs the budget agent of a router and carries out its effects:
+// store reads and writes, and messages to other routers.
 package budgets
 
 import (
@@ -18,25 +18,25 @@
 )
 
 const (
-	// tickEvery is how often the agent is ticked while it waits for something, quietEvery while
-	// it only holds tokens, and idleEvery while it holds none.
-	tickEvery  = 50 * time.Millisecond
-	quietEvery = 500 * time.Millisecond
-	idleEvery  = 10 * time.Second
+	// activeTickInterval applies while the agent waits for an answer, quietTickInterval while it
+	// only holds tokens, and idleTickInterval while it holds none.
+	activeTickInterval = 50 * time.Millisecond
+	quietTickInterval  = 500 * time.Millisecond
+	idleTickInterval   = 10 * time.Second
 )
 
-// Members is what the controller knows of the other routers.
+// Members provides the membership view of the other routers.
 type Members interface {
-	// Self is this router.
+	// Self returns the member entry of this router.
 	Self() membership.Member
-	// First returns the instance that is ranked first for a role.
+	// First returns the instance ranked first for a role.
 	First(now time.Time, role string) string
-	// Addr returns where an instance listens for other routers.
+	// Addr returns the address on which an instance listens for other routers.
 	Addr(id string) (string, bool)
-	// Failed and Reached tell how a call to an instance ended.
+	// Failed and Reached report the result of a call to an instance.
 	Failed(id string, cause error)
 	Reached(id string)
-	// Restarted tells that another process than the known one runs at an instance.
+	// Restarted reports that an instance runs a different process than the known one.
 	Restarted(id string)
 }
 
@@ -49,40 +49,40 @@
 
 	mu      sync.Mutex
 	agent   *budget.Agent
-	waiting map[uint64]chan answer
+	waiting map[uint64]chan reservation
 	onStop  func()
-	// tickAfter is the time between the last tick and the next one, and busy wakes Run for a
-	// shorter one.
-	tickAfter time.Duration
-	busy      chan struct{}
-	// storeLost tells whether the store does not answer; it may be nil.
+	// tickInterval is the time from the last tick to the next one. wake makes Run read the
+	// interval again after it became shorter.
+	tickInterval time.Duration
+	wake         chan struct{}
+	// storeLost reports whether the store does not answer. It may be nil.
 	storeLost func() bool
 }
 
-// homeOfPage makes one router the home of all budgets of a page, so that one
-// write renews them.
-func homeOfPage(pages int, m Members) func(time.Time, string) string {
+// homeByPage makes one router the home of all budgets of a page, so that one
+// write renews all of them.
+func homeByPage(pages int, m Members) func(time.Time, string) string {
 	roles := make([]string, pages)
 	for n := range roles {
 		roles[n] = budget.Role(n)
 	}
-	return func(_ time.Time, id string) string { // the time of the budgets is not that of the view
+	return func(_ time.Time, id string) string { // the membership view uses another clock than the budgets
 		return m.First(clock.Now(), roles[budget.PageOf(id, pages)])
 	}
 }
 
-// steady returns the time by which budgets are held. Other ages count the time for which
-// the machine was suspended; escrows must not: they are released, and taken back by the
-// next process, by the clock of the machine that starts anew at a loss of power and that
-// ran while tokens could be used.
-func steady() time.Time { return time.Now() }
+// escrowTime returns the time by which held budgets age. Other ages include the time for which
+// the machine was suspended. The age of an escrow must not include it: escrows are released, and
+// taken back by the next process, by the machine's monotonic clock, which restarts after a power
+// loss and advances only while tokens can be used.
+func escrowTime() time.Time { return time.Now() }
 
-// New returns a controller; without cfg.Home the first member for a page's role
-// is the home of its budgets. onStop is called when this holder finds itself
-// fenced.
+// New returns a controller. Without cfg.Home, the member ranked first for a
+// page's role is the home of the page's budgets. onStop is called when this holder
+// learns that it has been fenced.
 func New(cfg budget.Config, s store.Store, m Members, p *peer.Client, log *zap.Logger, onStop func()) *Controller {
 	if cfg.Home == nil {
-		cfg.Home = homeOfPage(cfg.Pages, m)
+		cfg.Home = homeByPage(cfg.Pages, m)
 	}
 	return &Controller{
 		store:   s,
@@ -90,78 +90,79 @@
 		peers:   p,
 		log:     log,
 		agent:   budget.NewAgent(cfg),
-		waiting: map[uint64]chan answer{},
-		busy:    make(chan struct{}, 1),
+		waiting: map[uint64]chan reservation{},
+		wake:    make(chan struct{}, 1),
 		onStop:  onStop,
 
 		storeLost: cfg.StoreLost,
 	}
 }
 
-// Run ticks the agent until the context ends.
+// Run ticks the agent until the context is cancelled.
 func (c *Controller) Run(ctx context.Context) {
-	timer := time.NewTimer(c.untilTick())
+	timer := time.NewTimer(c.nextTick())
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
 			wakeups.Note(wakeups.Budgets)
-			c.with(func(now time.Time, a *budget.Agent) []budget.Effect { return a.Tick(now) })
-		case <-c.busy:
+			c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.Tick(now) })
+		case <-c.wake:
 		case <-ctx.Done():
 			return
 		}
-		timer.Reset(c.untilTick())
+		timer.Reset(c.nextTick())
 	}
 }
 
-// untilTick returns the time until the agent is to be ticked.
-func (c *Controller) untilTick() time.Duration {
+// nextTick updates and returns the time until the next tick.
+func (c *Controller) nextTick() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tickAfter = c.agentDue()
-	return c.tickAfter
+	c.tickInterval = c.intervalNeeded()
+	return c.tickInterval
 }
 
-// agentDue returns how long the agent need not be ticked. It is called under the lock.
-func (c *Controller) agentDue() time.Duration {
+// intervalNeeded returns the longest interval that the agent allows until its next tick. The
+// caller holds the lock.
+func (c *Controller) intervalNeeded() time.Duration {
 	switch {
 	case c.agent.IsWaiting():
-		return tickEvery
+		return activeTickInterval
 	case c.agent.IsIdle():
-		return idleEvery
+		return idleTickInterval
 	default:
-		return quietEvery
+		return quietTickInterval
 	}
 }
 
-// with calls the agent under the lock and carries the effects out.
-func (c *Controller) with(call func(time.Time, *budget.Agent) []budget.Effect) {
+// withAgent calls the agent under the lock and then carries out the returned effects.
+func (c *Controller) withAgent(call func(time.Time, *budget.Agent) []budget.Effect) {
 	c.mu.Lock()
-	effects := call(steady(), c.agent)
+	effects := call(escrowTime(), c.agent)
 	c.resolve(effects)
-	c.hasten()
+	c.shortenTick()
 	c.mu.Unlock()
 	for _, e := range effects {
 		c.perform(e)
 	}
 }
 
-// hasten has the agent ticked sooner if there is more to do than at the last tick. It is called
-// under the lock.
-func (c *Controller) hasten() {
-	due := c.agentDue()
-	if due >= c.tickAfter {
+// shortenTick brings the next tick forward if the agent now needs a shorter interval. The caller
+// holds the lock.
+func (c *Controller) shortenTick() {
+	due := c.intervalNeeded()
+	if due >= c.tickInterval {
 		return
 	}
-	c.tickAfter = due
+	c.tickInterval = due
 	select {
-	case c.busy <- struct{}{}:
-	default: // Run is awake already
+	case c.wake <- struct{}{}:
+	default: // Run has already been woken
 	}
 }
 
-// resolve hands answers to waiting reservations. It is called under the lock.
+// resolve delivers answers to waiting reservations. The caller holds the lock.
 func (c *Controller) resolve(effects []budget.Effect) {
 	for _, e := range effects {
 		r, ok := e.(budget.Resolve)
@@ -170,7 +171,7 @@
 		}
 		if ch, waits := c.waiting[r.Token]; waits {
 			delete(c.waiting, r.Token)
-			ch <- answer{ok: r.OK, cause: r.Cause}
+			ch <- reservation{ok: r.OK, cause: r.Cause}
 		}
 	}
 }
@@ -186,25 +187,25 @@
 	case budget.Suspect:
 		c.members.Failed(e.ID, errNoGrant)
 	case budget.AskAgain:
-		c.with(func(now time.Time, a *budget.Agent) []budget.Effect { return a.AskAgain(now, e.Budget) })
+		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.AskAgain(now, e.Budget) })
 	case budget.TakenBack:
 		c.log.Info("tokens of an earlier process taken back", zap.String("holder", e.Holder),
 			zap.Duration("age_ms", e.Age), zap.Any("tokens", e.Tokens))
 	case budget.GivenUp:
-		c.log.Warn("tokens of an earlier process given up: its clock may have started anew", zap.String("holder", e.Holder),
+		c.log.Warn("tokens of an earlier process written off: its clock may have restarted", zap.String("holder", e.Holder),
 			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.OfDay), zap.Any("tokens", e.Tokens))
 	case budget.Stop:
 		c.onStop()
 	}
 }
 
-// SetLimits takes the budgets of a configuration.
+// SetLimits applies the budget limits of a configuration.
 func (c *Controller) SetLimits(limits map[string]budget.Limit) {
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect { return a.SetLimits(now, limits) })
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.SetLimits(now, limits) })
 }
 
-// Holdings returns what this router holds of the named budgets, or of all
-// that it used if none is named.
+// Holdings returns this router's holdings of the named budgets, or of all budgets
+// that it has used if none is named.
 func (c *Controller) Holdings(ids []string) map[string]budget.Holding {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,14 +219,14 @@
 	return held
 }
 
-// Seen returns what a decision over a budget goes by now.
+// Seen returns the current data on which a decision about a budget is based.
 func (c *Controller) Seen(id string) budget.Seen {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.agent.Seen(steady(), id)
+	return c.agent.Seen(escrowTime(), id)
 }
 
-// Fence makes messages of an incarnation void.
+// Fence rejects all further messages of an incarnation.
 func (c *Controller) Fence(incarnation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/budgets/budgets_test.go
+++ b/controller/budgets/budgets_test.go
@@ -20,33 +20,33 @@
 	"github.com/gaplink/gaplink/store/memory"
 )
 
-// overloaded are the other routers as one with a full link sees them: it blames nobody for a
-// call that fails.
-type overloaded struct {
+// congestedMembers is the membership view of a router with a saturated link: it marks no router as
+// failed after a failed call.
+type congestedMembers struct {
 	budgets.Members
 	addr string
 }
 
-func (overloaded) Self() membership.Member         { return membership.Member{ID: "self"} }
-func (overloaded) First(time.Time, string) string  { return "home" }
-func (o overloaded) Addr(id string) (string, bool) { return o.addr, id == "home" }
-func (overloaded) Failed(string, error)            {}
-func (overloaded) Reached(string)                  {}
-func (overloaded) Restarted(string)                {}
-func grant(m *budget.Message)                      { m.Kind, m.Scarce = budget.Grant, true }
+func (congestedMembers) Self() membership.Member         { return membership.Member{ID: "self"} }
+func (congestedMembers) First(time.Time, string) string  { return "home" }
+func (o congestedMembers) Addr(id string) (string, bool) { return o.addr, id == "home" }
+func (congestedMembers) Failed(string, error)            {}
+func (congestedMembers) Reached(string)                  {}
+func (congestedMembers) Restarted(string)                {}
+func grant(m *budget.Message)                            { m.Kind, m.Scarce = budget.Grant, true }
 
-// newController returns a controller whose home of all budgets is at an address, and its client.
+// newController returns a controller and its client. The home of all budgets is at addr.
 func newController(addr string) (*budgets.Controller, *peer.Client) {
 	client := peer.NewClient(peer.Options{DialTimeout: 200 * time.Millisecond})
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
-	return budgets.New(cfg, memory.New(), overloaded{addr: addr}, client, zap.NewNop(), func() {}), client
+	return budgets.New(cfg, memory.New(), congestedMembers{addr: addr}, client, zap.NewNop(), func() {}), client
 }
 
-// scarce tells a controller that the tokens of a budget are scarce, so that each request is asked
-// for by itself.
-func scarce(t *testing.T, c *budgets.Controller) {
+// makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the home
+// for the tokens of each request separately.
+func makeScarce(t *testing.T, c *budgets.Controller) {
 	t.Helper()
 	m := budget.Message{Budget: "b", From: budget.Peer{ID: "home", Incarnation: "home/1"}, To: budget.Peer{ID: "self", Incarnation: "self/1"}}
 	grant(&m)
@@ -55,7 +55,8 @@
 	}
 }
 
-// Guards against calls and goroutines that multiply while the home of a budget takes no question.
+// Guards against calls and goroutines that multiply while the home of a budget accepts no
+// messages.
 func TestWaitingRequestsDoNotMultiplyCalls(t *testing.T) {
 	const (
 		waiting = 40
@@ -66,12 +67,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = refusing.Close() // only its address is wanted
+	_ = refusing.Close() // keep only its address, where connections are refused
 	for name, addr := range map[string]string{"silent": silent, "refusing": refusing.Addr().String()} {
 		t.Run(name, func(t *testing.T) {
 			c, client := newController(addr)
 			defer func() { _ = client.Close() }()
-			scarce(t, c)
+			makeScarce(t, c)
 			ctx, cancel := context.WithTimeout(t.Context(), within)
 			defer cancel()
 			go c.Run(ctx)
@@ -82,7 +83,7 @@
 					err := c.Reserve(ctx, "b", 10)
 					var refused *result.Error
 					if !errors.As(err, &refused) || refused.Code != result.BudgetUnreachable || refused.RetryAfter <= 0 {
-						t.Errorf("ended with %v", err)
+						t.Errorf("got error %v, want BudgetUnreachable with a retry delay", err)
 					}
 				})
 			}
@@ -98,9 +99,9 @@
 	}
 }
 
-// Guards against a home that is taken for silent although the way to it is slow: a full link gets
-// more time.
-func TestQuestionsOutlastAFullLink(t *testing.T) {
+// Guards against treating the home as unresponsive when only the link to it is slow: on a
+// congested link the timeout is longer.
+func TestMessageTimeoutIsLongerOnACongestedLink(t *testing.T) {
 	const takes = 500 * time.Millisecond
 	for name, c := range map[string]struct {
 		congested bool
@@ -128,35 +129,35 @@
 			cfg := budget.DefaultConfig()
 			cfg.Pages = 1
 			cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
-			controller := budgets.New(cfg, memory.New(), overloaded{addr: l.Addr().String()}, client, zap.NewNop(), func() {})
+			controller := budgets.New(cfg, memory.New(), congestedMembers{addr: l.Addr().String()}, client, zap.NewNop(), func() {})
 			ctx, cancel := context.WithTimeout(t.Context(), 2*takes)
 			defer cancel()
 			go func() { _ = controller.Reserve(ctx, "b", 10) }()
 			select {
 			case q := <-arrived:
 				if !c.arrives || q.Kind != budget.Draw || q.Need != 10 {
-					t.Errorf("%+v arrived", q)
+					t.Errorf("unexpected message %+v", q)
 				}
 			case <-ctx.Done():
 				if c.arrives {
-					t.Error("the question was given up")
+					t.Error("the message did not arrive before the timeout")
 				}
 			}
 		})
 	}
 }
 
-// restarted notes which routers run another process than the known one.
-type restarted struct {
-	overloaded
-	noted chan string
+// restartRecorder records the instances reported as running a different process.
+type restartRecorder struct {
+	congestedMembers
+	reported chan string
 }
 
-func (r restarted) Restarted(id string) { r.noted <- id }
+func (r restartRecorder) Restarted(id string) { r.reported <- id }
 
-// Guards against a router that goes on asking a process which does not run any more: nobody tells
-// all routers of a large fleet of a restart.
-func TestOtherProcessOfARouterIsNoted(t *testing.T) {
+// Guards against a router that keeps sending to a process that no longer runs. In a large fleet,
+// a restart is not announced to all routers.
+func TestRestartOfARouterIsReported(t *testing.T) {
 	m := peer.NewMux()
 	peer.Handle(m, peer.MethodBudget, func(context.Context, *peer.BudgetMessage) (*peer.Empty, error) {
 		return nil, result.New(result.WrongIncarnation, "meant for an earlier process")
@@ -171,17 +172,17 @@
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
-	members := restarted{overloaded{addr: l.Addr().String()}, make(chan string, 16)}
+	members := restartRecorder{congestedMembers{addr: l.Addr().String()}, make(chan string, 16)}
 	c := budgets.New(cfg, memory.New(), members, client, zap.NewNop(), func() {})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	go func() { _ = c.Reserve(ctx, "b", 10) }()
 	select {
-	case id := <-members.noted:
+	case id := <-members.reported:
 		if id != "home" {
-			t.Errorf("%s is noted", id)
+			t.Errorf("restart reported for %s, want home", id)
 		}
 	case <-ctx.Done():
-		t.Error("the restart is not noted")
+		t.Error("the restart was not reported")
 	}
 }
--- a/controller/budgets/edit.go
+++ b/controller/budgets/edit.go
@@ -11,21 +11,21 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// editTries bounds how often an edit meets a conflict before it gives up.
-const editTries = 20
+// maxEditTries is the number of conditional updates after which an edit fails.
+const maxEditTries = 20
 
-// editPage changes a page by a conditional update, again and again until no
-// other change came between. A write whose answer was lost is recognised by a
-// mark that is unique to the edit.
+// editPage changes a page by a conditional update and retries on conflict. A
+// unique mark that the edit stores in the page shows whether a write whose answer
+// was lost took effect.
 func editPage(ctx context.Context, s store.Store, n int, change func(*budget.Page) error) error {
 	mark := "operator/" + uuid.NewString()
-	for range editTries {
+	for range maxEditTries {
 		page, version, err := readPage(ctx, s, n)
 		if err != nil {
 			return unavailable(err)
 		}
 		if _, done := page.Ops[mark]; done {
-			return unmark(ctx, s, n, page, version, mark)
+			return removeMark(ctx, s, n, page, version, mark)
 		}
 		if err := change(page); err != nil {
 			return err
@@ -34,19 +34,20 @@
 		o, err := store.Put(ctx, s, budget.PageKey(n), version, page.Encode())
 		switch {
 		case err == nil:
-			return unmark(ctx, s, n, page, o.Version, mark)
+			return removeMark(ctx, s, n, page, o.Version, mark)
 		case errors.Is(err, store.ErrConflict):
 		case errors.Is(err, store.ErrUnavailable):
 			return unavailable(err)
 		default:
-			// Lost: the next read tells, by the mark, whether it took effect.
+			// The answer was lost: the mark shows at the next read whether the
+			// write took effect.
 		}
 	}
 	return result.New(result.ChangeOutcomeLost, "the store did not confirm the change")
 }
 
-// unmark removes the edit's mark; one that stays behind does no harm.
-func unmark(ctx context.Context, s store.Store, n int, page *budget.Page, version int64, mark string) error {
+// removeMark removes the mark of an edit. A mark that remains is harmless.
+func removeMark(ctx context.Context, s store.Store, n int, page *budget.Page, version int64, mark string) error {
 	delete(page.Ops, mark)
 	_, _ = s.Update(ctx, budget.PageKey(n), version, page.Encode())
 	return nil
@@ -68,7 +69,7 @@
 	return page, o.Version, err
 }
 
-// Create makes a budget with a limit in tokens.
+// Create creates a budget with a limit in tokens.
 func Create(ctx context.Context, s store.Store, pages int, id, account string, limit int64) error {
 	if id == "" || limit < 0 {
 		return result.New(result.BadRow, "a budget needs a name and a limit of 0 or more")
@@ -82,7 +83,7 @@
 	})
 }
 
-// TopUp raises a budget's limit and returns the new one.
+// TopUp raises the limit of a budget by the given tokens and returns the new limit.
 func TopUp(ctx context.Context, s store.Store, pages int, id string, tokens int64) (int64, error) {
 	if tokens <= 0 {
 		return 0, result.New(result.BadRow, "a top-up must be above 0 tokens; a limit never falls")
@@ -100,7 +101,7 @@
 	return limit, err
 }
 
-// Show reads a budget.
+// Show returns the record of a budget.
 func Show(ctx context.Context, s store.Store, pages int, id string) (*budget.Record, error) {
 	page, _, err := readPage(ctx, s, budget.PageOf(id, pages))
 	if err != nil {
@@ -113,7 +114,7 @@
 	return r, nil
 }
 
-// CloseHolder folds a holder that will never write again.
+// CloseHolder closes, in page n, a holder that will never write again.
 func CloseHolder(ctx context.Context, s store.Store, n int, holder string) error {
 	return editPage(ctx, s, n, func(p *budget.Page) error {
 		p.Close(holder)
@@ -121,7 +122,7 @@
 	})
 }
 
-// ReadPage reads a page and its version.
+// ReadPage returns page n and its version.
 func ReadPage(ctx context.Context, s store.Store, n int) (*budget.Page, int64, error) {
 	return readPage(ctx, s, n)
 }
--- a/controller/budgets/messages.go
+++ b/controller/budgets/messages.go
@@ -10,19 +10,20 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// sendTimeout bounds a message to another router while this router's link is not full: one that
-// does not take it by then is skipped for a while.
+// sendTimeout bounds the delivery of a message while this router's link is not congested. A router
+// that does not accept the message in time is skipped for a while.
 const sendTimeout = 150 * time.Millisecond
 
-// errOtherProcess means that the message was for an earlier process of the
-// instance, which has certainly not taken it.
-var errOtherProcess = errors.New("another process runs at the instance")
+// errProcessReplaced means that the message was for an earlier process of the
+// instance, which has certainly not received it.
+var errProcessReplaced = errors.New("the instance runs a different process")
 
-// errNoGrant means that a router took a question for tokens and has not
+// errNoGrant means that a router received a request for tokens and has not
 // answered it, or is closing.
-var errNoGrant = errors.New("no answer to a question for tokens")
+var errNoGrant = errors.New("no answer to a request for tokens")
 
-// send delivers a message once. A message to this router itself stays here.
+// send tries once to deliver a message. A message to this router itself is
+// processed locally.
 func (c *Controller) send(m budget.Message) {
 	if m.To.ID == c.members.Self().ID {
 		_ = c.Receive(m)
@@ -34,13 +35,13 @@
 		return
 	}
 	certain := errors.Is(err, peer.ErrNotSent)
-	if errors.Is(err, errOtherProcess) {
-		certain = true // the instance is well; only its process is another
+	if errors.Is(err, errProcessReplaced) {
+		certain = true // the instance is reachable but runs a different process
 		c.members.Restarted(m.To.ID)
 	} else {
 		c.members.Failed(m.To.ID, err)
 	}
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect { return a.Undelivered(now, m, certain) })
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.Undelivered(now, m, certain) })
 }
 
 func (c *Controller) deliver(m budget.Message) error {
@@ -52,16 +53,16 @@
 	defer cancel()
 	_, err := peer.Call[peer.BudgetMessage, peer.Empty](ctx, c.peers, addr, peer.MethodBudget, &peer.BudgetMessage{Message: m})
 	if result.From(err).Code == result.WrongIncarnation {
-		return errOtherProcess
+		return errProcessReplaced
 	}
 	return err
 }
 
-// Receive takes a message from another router. It fails with WrongIncarnation
-// when the message is for an earlier process of this instance.
+// Receive processes a message from another router. It fails with WrongIncarnation
+// if the message is for an earlier process of this instance.
 func (c *Controller) Receive(m budget.Message) error {
 	accepted := true
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect {
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
 		accepted = a.Accepts(m)
 		return a.Receive(now, m)
 	})
--- a/controller/budgets/page.go
+++ b/controller/budgets/page.go
@@ -20,11 +20,11 @@
 	if err == nil {
 		page, err = budget.DecodePage(o.Value)
 		if err != nil {
-			c.log.Error("budget page is not readable", zap.Int("page", n), zap.Error(err))
+			c.log.Error("cannot decode budget page", zap.Int("page", n), zap.Error(err))
 			outcome = budget.Unavailable
 		}
 	}
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect {
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
 		return a.PageRead(now, n, o.Version, page, outcome)
 	})
 }
@@ -32,45 +32,46 @@
 func (c *Controller) write(w budget.WritePage) {
 	o, err := store.Put(context.Background(), c.store, budget.PageKey(w.Page), w.Version, w.Value.Encode())
 	outcome := classify(err)
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect {
-		return a.PageWritten(now, w.Page, o.Version, outcome, c.current(w.Page, o, outcome))
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
+		return a.PageWritten(now, w.Page, o.Version, outcome, c.conflictingPage(w.Page, o, outcome))
 	})
 	c.logWrite(w, o.Version, err)
 }
 
-// current returns the page that a conflict showed, nil if it did not.
-func (c *Controller) current(n int, o store.Object, outcome budget.StoreResult) *budget.Page {
+// conflictingPage returns the stored page that came with a conflict, or nil if none
+// did.
+func (c *Controller) conflictingPage(n int, o store.Object, outcome budget.StoreResult) *budget.Page {
 	if outcome != budget.Conflict || o.Version == 0 {
 		return nil
 	}
 	page, err := budget.DecodePage(o.Value)
 	if err != nil {
-		c.log.Error("budget page is not readable", zap.Int("page", n), zap.Error(err))
+		c.log.Error("cannot decode budget page", zap.Int("page", n), zap.Error(err))
 		return nil
 	}
 	return page
 }
 
-// logWrite tells of a write of a page: what this router holds, and what the
-// page has left.
+// logWrite logs the result of a page write, with this router's holdings and the free
+// tokens of each budget.
 func (c *Controller) logWrite(w budget.WritePage, version int64, err error) {
 	if err != nil {
 		c.log.Info("budget page not written", zap.Int("page", w.Page), zap.Int64("read_version", w.Version), zap.Error(err))
 		return
 	}
 	c.log.Info("budget page written", zap.Int("page", w.Page), zap.Int64("version", version),
-		zap.Stringer("budgets", written{page: w.Value, held: c.Holdings(nil)}))
+		zap.Stringer("budgets", pageSummary{page: w.Value, held: c.Holdings(nil)}))
 }
 
-// written prints, for each budget, what this router holds and has reserved for
-// running requests, what the store has free, and the limit.
-type written struct {
+// pageSummary formats, for each budget, the tokens that this router holds and has
+// reserved for running requests, the free tokens in the store, and the limit.
+type pageSummary struct {
 	page *budget.Page
 	held map[string]budget.Holding
 }
 
 // String implements fmt.Stringer.
-func (w written) String() string {
+func (w pageSummary) String() string {
 	var b strings.Builder
 	for _, id := range w.page.Names() {
 		r, h := w.page.Budgets[id], w.held[id]
--- a/controller/budgets/reserve.go
+++ b/controller/budgets/reserve.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// waitAtMost bounds how long a reservation may wait for an answer.
-	waitAtMost = 3 * time.Second
-	// exhaustedRetry and unreachableRetry are when to come back.
-	exhaustedRetry   = 5 * time.Second
-	unreachableRetry = 4 * time.Second
-	// unansweredRetry is the same when a router was asked for tokens and has not
-	// answered: another one takes its place by then.
-	unansweredRetry = 300 * time.Millisecond
+	// reserveTimeout bounds how long a reservation waits for an answer.
+	reserveTimeout = 3 * time.Second
+	// exhaustedRetryAfter and unreachableRetryAfter are the retry delays given to the caller.
+	exhaustedRetryAfter   = 5 * time.Second
+	unreachableRetryAfter = 4 * time.Second
+	// unansweredRetryAfter is the retry delay after a router did not answer a request
+	// for tokens. By then, another router has taken its place.
+	unansweredRetryAfter = 300 * time.Millisecond
 )
 
-// answer is the outcome of a waiting reservation.
-type answer struct {
+// reservation is the outcome of a waiting reservation.
+type reservation struct {
 	ok    bool
 	cause budget.Cause
 }
 
-// Reserve takes tokens from a budget, or fails with the reason.
+// Reserve reserves tokens of a budget, waiting for an answer if needed. The error
+// gives the reason for a refusal.
 func (c *Controller) Reserve(ctx context.Context, id string, tokens int64) error {
-	ch := make(chan answer, 1)
+	ch := make(chan reservation, 1)
 	var token uint64
 	granted := false
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect {
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
 		var effects []budget.Effect
 		token, granted, effects = a.Reserve(now, id, tokens)
 		if !granted {
@@ -44,45 +45,45 @@
 	return c.await(ctx, id, tokens, token, ch)
 }
 
-// TryReserve takes tokens that this router holds, without waiting.
+// TryReserve reserves tokens that this router holds, without waiting.
 func (c *Controller) TryReserve(id string, tokens int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.agent.TryReserve(steady(), id, tokens)
+	return c.agent.TryReserve(escrowTime(), id, tokens)
 }
 
-func (c *Controller) await(ctx context.Context, id string, tokens int64, token uint64, ch chan answer) error {
-	timer := time.NewTimer(waitAtMost)
+func (c *Controller) await(ctx context.Context, id string, tokens int64, token uint64, ch chan reservation) error {
+	timer := time.NewTimer(reserveTimeout)
 	defer timer.Stop()
 	select {
 	case got := <-ch:
-		return refusal(id, got)
+		return reservationError(id, got)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if c.cancel(id, token) {
-		return result.New(result.BudgetUnreachable, "budget %s: no answer in time", id).After(c.unanswered())
+		return result.New(result.BudgetUnreachable, "budget %s: no answer in time", id).After(c.timeoutRetryAfter())
 	}
 	got := <-ch
 	if got.ok && ctx.Err() != nil {
 		c.Settle(id, tokens, 0)
-		return refusal(id, answer{cause: budget.Unreachable})
+		return reservationError(id, reservation{cause: budget.Unreachable})
 	}
-	return refusal(id, got)
+	return reservationError(id, got)
 }
 
-// unanswered is when to come back after a reservation that got no answer in
-// time: soon if another router takes the place of one that did not answer, and
-// later if what is missing is the store.
-func (c *Controller) unanswered() time.Duration {
+// timeoutRetryAfter returns the retry delay after a reservation timed out: short if
+// another router can take the place of one that did not answer, and longer if the
+// store is unavailable.
+func (c *Controller) timeoutRetryAfter() time.Duration {
 	if c.storeLost != nil && c.storeLost() {
-		return unreachableRetry
+		return unreachableRetryAfter
 	}
-	return unansweredRetry
+	return unansweredRetryAfter
 }
 
-// cancel withdraws a waiting reservation; false means that its answer is
-// already there.
+// cancel withdraws a waiting reservation. It returns false if the answer has already
+// arrived.
 func (c *Controller) cancel(id string, token uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,22 +95,22 @@
 	return true
 }
 
-func refusal(id string, got answer) error {
+func reservationError(id string, got reservation) error {
 	switch {
 	case got.ok:
 		return nil
 	case got.cause == budget.Unknown:
 		return result.New(result.UnknownBudget, "budget %s does not exist", id)
 	case got.cause == budget.Exhausted:
-		return result.New(result.BudgetExhausted, "budget %s cannot cover the request", id).After(exhaustedRetry)
+		return result.New(result.BudgetExhausted, "budget %s cannot cover the request", id).After(exhaustedRetryAfter)
 	default:
-		return result.New(result.BudgetUnreachable, "budget %s: neither the store nor a holder answers", id).After(unreachableRetry)
+		return result.New(result.BudgetUnreachable, "budget %s: neither the store nor a holder answers", id).After(unreachableRetryAfter)
 	}
 }
 
-// Settle ends a reservation of which actual tokens were served.
+// Settle ends a reservation and charges the tokens that were actually served.
 func (c *Controller) Settle(id string, reserved, actual int64) {
-	c.with(func(now time.Time, a *budget.Agent) []budget.Effect {
+	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
 		return a.Settle(now, id, reserved, actual)
 	})
 }
