--- a/controller/ledgers/ledgers.go
+++ b/controller/ledgers/ledgers.go
@@ -1,5 +1,5 @@
-// Package ledgers runs the ledger shards: it submits claims and bills to the
-// shard owners, and acts as the owner for the shards ranked here.
+// Package ledgers runs the ledger shards: it submits claims and bills to the shard
+// owners, and acts as owner of the shards for which this router is ranked first.
 package ledgers
 
 import (
@@ -18,19 +18,19 @@
 )
 
 const (
-	tickEvery = 5 * time.Millisecond
-	// submitTimeout bounds one submission to an owner.
+	tickInterval = 5 * time.Millisecond
+	// submitTimeout bounds one submission of an op to an owner.
 	submitTimeout = 1500 * time.Millisecond
-	// runningTimeout bounds the question whether a holder still runs a request.
+	// runningTimeout bounds the query whether a holder still runs a request.
 	runningTimeout = 500 * time.Millisecond
-	// submitTries is how many owners, in rank order, a submission is offered.
-	submitTries = 3
-	// resubmitEvery is how often unrecorded bills are submitted again.
-	resubmitEvery = 500 * time.Millisecond
-	forgetEvery   = 10 * time.Second
+	// maxOwners is the number of owners, in rank order, to which an op is submitted.
+	maxOwners = 3
+	// resubmitInterval is the interval at which unrecorded bills are submitted again.
+	resubmitInterval = 500 * time.Millisecond
+	evictInterval    = 10 * time.Second
 )
 
-var errNoOwner = errors.New("no shard owner answers")
+var errNoOwner = errors.New("no ledger shard owner answers")
 
 // Controller runs the shards. It is safe for concurrent use.
 type Controller struct {
@@ -39,30 +39,30 @@
 	peers       *peer.Client
 	log         *zap.Logger
 	incarnation string
-	count       int
+	shardCount  int
 
 	mu      sync.Mutex
-	shards  []*shard
+	shards  []*lockedShard
 	token   uint64
 	waiting map[uint64]chan ledger.Outcome
 	running map[string]bool
 	bills   map[string]ledger.Op // not known to be committed
-	fenced  map[string]bool      // incarnations that may claim nothing
+	fenced  map[string]bool      // incarnations whose claims are rejected
 	tasks   sync.WaitGroup
 	onStop  func()
 }
 
-// Stop is called when this router finds itself fenced.
+// Stop calls onStop. It is used when this router learns that it has been fenced.
 func (c *Controller) Stop() { c.onStop() }
 
-// shard is a pure shard with its lock.
-type shard struct {
+// lockedShard is a ledger shard with its lock.
+type lockedShard struct {
 	mu    sync.Mutex
 	shard *ledger.Shard
 }
 
-// New returns a controller of count shards; cfg is the same for all. onStop is
-// called when this router finds itself fenced.
+// New returns a controller of count shards, which share cfg. onStop is called when
+// this router learns that it has been fenced.
 func New(cfg ledger.Config, count int, s store.Store, m *members.Controller, p *peer.Client, log *zap.Logger, onStop func()) *Controller {
 	c := &Controller{
 		store:       s,
@@ -70,7 +70,7 @@
 		peers:       p,
 		log:         log,
 		incarnation: cfg.Owner,
-		count:       count,
+		shardCount:  count,
 		waiting:     map[uint64]chan ledger.Outcome{},
 		running:     map[string]bool{},
 		bills:       map[string]ledger.Op{},
@@ -79,27 +79,27 @@
 	}
 	for n := range count {
 		cfg.Shard = n
-		c.shards = append(c.shards, &shard{shard: ledger.NewShard(cfg)})
+		c.shards = append(c.shards, &lockedShard{shard: ledger.NewShard(cfg)})
 	}
 	return c
 }
 
-// Run ticks the shards until the context ends.
+// Run ticks the shards until the context is cancelled.
 func (c *Controller) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	resubmit := time.NewTicker(resubmitEvery)
+	resubmit := time.NewTicker(resubmitInterval)
 	defer resubmit.Stop()
-	forget := time.NewTicker(forgetEvery)
+	forget := time.NewTicker(evictInterval)
 	defer forget.Stop()
 	for {
 		select {
 		case <-tick.C:
 			c.tick()
 		case <-resubmit.C:
-			c.start(c.resubmit)
+			c.goTask(c.resubmit)
 		case <-forget.C:
-			c.forget()
+			c.evict()
 		case <-ctx.Done():
 			return
 		}
@@ -108,20 +108,20 @@
 
 func (c *Controller) tick() {
 	for n := range c.shards {
-		c.with(n, func(now time.Time, s *ledger.Shard) []ledger.Effect { return s.Tick(now) })
+		c.withShard(n, func(now time.Time, s *ledger.Shard) []ledger.Effect { return s.Tick(now) })
 	}
 }
 
-func (c *Controller) forget() {
+func (c *Controller) evict() {
 	for n := range c.shards {
-		c.with(n, func(now time.Time, s *ledger.Shard) []ledger.Effect {
+		c.withShard(n, func(now time.Time, s *ledger.Shard) []ledger.Effect {
 			s.EvictFinished(now)
 			return nil
 		})
 	}
 }
 
-func (c *Controller) with(n int, call func(time.Time, *ledger.Shard) []ledger.Effect) {
+func (c *Controller) withShard(n int, call func(time.Time, *ledger.Shard) []ledger.Effect) {
 	sh := c.shards[n]
 	sh.mu.Lock()
 	effects := call(clock.Now(), sh.shard)
@@ -136,13 +136,13 @@
 	case ledger.Reply:
 		c.reply(e)
 	case ledger.Load:
-		c.start(func() { c.load(e.Shard) })
+		c.goTask(func() { c.load(e.Shard) })
 	case ledger.Append:
-		c.start(func() { c.append(e) })
+		c.goTask(func() { c.append(e) })
 	}
 }
 
-func (c *Controller) start(task func()) {
+func (c *Controller) goTask(task func()) {
 	c.tasks.Add(1)
 	go func() {
 		defer c.tasks.Done()
@@ -166,7 +166,7 @@
 	for _, o := range objects {
 		seg, decodeErr := ledger.DecodeSegment(o.Value)
 		if decodeErr != nil {
-			c.log.Error("ledger segment is not readable", zap.String("key", o.Key), zap.Error(decodeErr))
+			c.log.Error("cannot decode ledger segment", zap.String("key", o.Key), zap.Error(decodeErr))
 			err = decodeErr
 			break
 		}
@@ -174,9 +174,9 @@
 		version = o.Version
 	}
 	if err == nil && !ledger.IsCompleteLog(segments) {
-		c.log.Error("ledger log has a hole; the shard waits for it", zap.Int("shard", n), zap.Int("segments", len(segments)))
+		c.log.Error("ledger log is incomplete; the shard retries the load", zap.Int("shard", n), zap.Int("segments", len(segments)))
 	}
-	c.with(n, func(now time.Time, s *ledger.Shard) []ledger.Effect {
+	c.withShard(n, func(now time.Time, s *ledger.Shard) []ledger.Effect {
 		return s.Loaded(now, segments, version, classify(err))
 	})
 }
@@ -184,7 +184,7 @@
 func (c *Controller) append(a ledger.Append) {
 	key := ledger.SegmentKey(a.Shard, a.Segment.Number)
 	o, err := store.Put(context.Background(), c.store, key, a.Version, a.Segment.Encode())
-	c.with(a.Shard, func(now time.Time, s *ledger.Shard) []ledger.Effect {
+	c.withShard(a.Shard, func(now time.Time, s *ledger.Shard) []ledger.Effect {
 		return s.Appended(now, o.Version, classify(err))
 	})
 }
@@ -202,9 +202,10 @@
 	}
 }
 
-// Submit asks this router, as a shard's owner, for an op.
+// Submit submits an op to this router as owner of shard n, and waits for the
+// outcome.
 func (c *Controller) Submit(ctx context.Context, n int, op ledger.Op) (ledger.Outcome, error) {
-	if n < 0 || n >= c.count {
+	if n < 0 || n >= c.shardCount {
 		return ledger.Outcome{}, errNoOwner
 	}
 	ch := make(chan ledger.Outcome, 1)
@@ -217,7 +218,7 @@
 	token := c.token
 	c.waiting[token] = ch
 	c.mu.Unlock()
-	c.with(n, func(now time.Time, s *ledger.Shard) []ledger.Effect { return s.Submit(now, op, token) })
+	c.withShard(n, func(now time.Time, s *ledger.Shard) []ledger.Effect { return s.Submit(now, op, token) })
 	select {
 	case outcome := <-ch:
 		return outcome, nil
@@ -229,16 +230,16 @@
 	}
 }
 
-// Flush waits until no bill is unrecorded and no shard has something to
-// commit, or the context ends.
+// Flush waits until all bills are recorded and no shard has ops to commit, or the
+// context is cancelled.
 func (c *Controller) Flush(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for c.Unrecorded() > 0 || !c.idle() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			c.log.Warn("bills not flushed", zap.Int("unrecorded", c.Unrecorded()))
+			c.log.Warn("stopped waiting for bills to be recorded", zap.Int("unrecorded", c.Unrecorded()))
 			return
 		}
 	}
@@ -256,5 +257,5 @@
 	return true
 }
 
-// Wait waits for calls in progress. Call it after Run has ended.
+// Wait waits for background tasks to finish. Call it after Run has returned.
 func (c *Controller) Wait() { c.tasks.Wait() }
--- a/controller/ledgers/ledgers_test.go
+++ b/controller/ledgers/ledgers_test.go
@@ -15,17 +15,17 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// downStore refuses every call.
+// downStore is a store whose List is unavailable.
 type downStore struct{ store.Store }
 
 func (downStore) List(context.Context, string) ([]store.Object, int64, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
-// TestHeldBillsAreUnrecorded: a bill that is only held while the store is down
-// must count as unrecorded. Another router that owns the shard next does not
-// know of it, and a reclaim would take its tokens for unspent.
-func TestHeldBillsAreUnrecorded(t *testing.T) {
+// TestBufferedBillsAreUnrecorded guards against treating a bill as recorded that is
+// only buffered while the store is down. The next owner of the shard may not have
+// the bill, and a reclaim would then count its tokens as unspent.
+func TestBufferedBillsAreUnrecorded(t *testing.T) {
 	self := membership.Member{ID: "r0", Kind: "router", State: membership.Live}
 	m := members.New(self, nil, time.Hour, zap.NewNop())
 	p := peer.NewClient(peer.Options{DialTimeout: time.Second})
--- a/controller/ledgers/submit.go
+++ b/controller/ledgers/submit.go
@@ -10,8 +10,8 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// offer submits an op to one router.
-func (c *Controller) offer(ctx context.Context, id string, n int, op ledger.Op) (ledger.Outcome, error) {
+// submitTo submits an op to one router as owner of shard n.
+func (c *Controller) submitTo(ctx context.Context, id string, n int, op ledger.Op) (ledger.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if id == c.members.Self().ID {
@@ -31,12 +31,12 @@
 	return resp.Outcome, nil
 }
 
-// submit offers an op to the owners in rank order until one answers.
+// submit submits an op to the owners in rank order until one answers.
 func (c *Controller) submit(ctx context.Context, op ledger.Op) (outcome ledger.Outcome, owner string, err error) {
-	n := ledger.ShardOf(op.Request, c.count)
+	n := ledger.ShardOf(op.Request, c.shardCount)
 	err = errNoOwner
 	for _, id := range c.owners(n) {
-		outcome, err = c.offer(ctx, id, n, op)
+		outcome, err = c.submitTo(ctx, id, n, op)
 		if err == nil {
 			return outcome, id, nil
 		}
@@ -52,38 +52,39 @@
 	if len(ranked) == 0 {
 		return []string{c.members.Self().ID}
 	}
-	return ranked[:min(len(ranked), submitTries)]
+	return ranked[:min(len(ranked), maxOwners)]
 }
 
-// Claim asks to run a request. What a router dispatches is known to another
-// process before: in the log, or in the memory of the shard's owner. So the
-// tokens of a router that dies can be told from those it spent.
+// Claim requests permission to run a request. Each dispatch is recorded outside this
+// process beforehand, in the log or in the memory of the shard's owner, so that
+// the spent tokens of a router that dies can be distinguished from the unspent ones.
 func (c *Controller) Claim(ctx context.Context, op ledger.Op) (ledger.Outcome, error) {
-	owners := c.owners(ledger.ShardOf(op.Request, c.count))
+	owners := c.owners(ledger.ShardOf(op.Request, c.shardCount))
 	if owners[0] == c.members.Self().ID {
 		op.Durable = true
 	}
 	outcome, owner, err := c.submit(ctx, op)
 	if err == nil && owner == c.members.Self().ID && !op.Durable {
-		return c.witnessed(ctx, op)
+		return c.claimAtOtherOwner(ctx, op)
 	}
 	if err == nil && outcome.Verdict == ledger.StoreDown && !op.NotRepeatable {
-		return c.witnessed(ctx, op)
+		return c.claimAtOtherOwner(ctx, op)
 	}
 	return outcome, err
 }
 
-// witnessed claims a repeatable request in another router's memory.
-func (c *Controller) witnessed(ctx context.Context, op ledger.Op) (ledger.Outcome, error) {
+// claimAtOtherOwner records the claim of a repeatable request in another router's
+// memory.
+func (c *Controller) claimAtOtherOwner(ctx context.Context, op ledger.Op) (ledger.Outcome, error) {
 	op.Durable = false
-	n := ledger.ShardOf(op.Request, c.count)
+	n := ledger.ShardOf(op.Request, c.shardCount)
 	err := errNoOwner
 	for _, id := range c.owners(n) {
 		if id == c.members.Self().ID {
 			continue
 		}
 		var outcome ledger.Outcome
-		outcome, err = c.offer(ctx, id, n, op)
+		outcome, err = c.submitTo(ctx, id, n, op)
 		if err == nil {
 			return outcome, nil
 		}
@@ -91,9 +92,10 @@
 	return ledger.Outcome{}, err
 }
 
-// Record writes a bill. It returns when the bill is committed, or when
-// another router holds it too while the store is down. Until it is committed
-// it is submitted again and again.
+// Record submits a bill. It returns after the bill is committed, after an owner
+// buffers it while the store is down, or after the submission fails. A bill that
+// only this router has buffered is first offered to other owners. Bills that are not
+// committed are resubmitted periodically.
 func (c *Controller) Record(ctx context.Context, op ledger.Op) {
 	key := op.Holder + "/" + op.Request + "/" + op.Claim
 	c.mu.Lock()
@@ -101,7 +103,7 @@
 	c.mu.Unlock()
 	outcome, owner, err := c.submit(ctx, op)
 	if err != nil {
-		c.log.Warn("bill not yet recorded", zap.String("request", op.Request), zap.Error(err))
+		c.log.Warn("bill not recorded; it will be resubmitted", zap.String("request", op.Request), zap.Error(err))
 		return
 	}
 	if outcome.Verdict == ledger.Recorded {
@@ -111,13 +113,13 @@
 		return
 	}
 	if owner == c.members.Self().ID {
-		c.copyElsewhere(ctx, op)
+		c.replicateBill(ctx, op)
 	}
 }
 
 // UnrecordedTokens returns the tokens of bills not known to be committed, by
-// budget. A bill that is merely held counts too: the shard's next owner may
-// know nothing of it.
+// budget. This includes buffered bills, because the next owner of the shard may not
+// have them.
 func (c *Controller) UnrecordedTokens() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,14 +130,14 @@
 	return tokens
 }
 
-// Fence refuses claims of an incarnation here, from now on.
+// Fence makes this router reject all further claims of an incarnation.
 func (c *Controller) Fence(incarnation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fenced[incarnation] = true
 }
 
-// Barrier commits all items that this router holds for any shard, by
+// Barrier commits all ops that this router has buffered for any shard, by
 // committing a fence after them.
 func (c *Controller) Barrier(ctx context.Context, incarnation string) error {
 	for n, sh := range c.shards {
@@ -156,18 +158,18 @@
 	return nil
 }
 
-// Charges is what the shards know at a fence.
+// Charges is the result of a fence over all shards.
 type Charges struct {
-	// Totals are the tokens charged by budget over all shards.
+	// Totals holds the tokens charged in all shards, by budget.
 	Totals map[string]int64
-	// Left are the fenced holder's attempts that are charged their worst case.
-	Left []ledger.UnbilledAttempt
+	// Unbilled lists the fenced holder's attempts that are charged their worst case.
+	Unbilled []ledger.UnbilledAttempt
 }
 
-// FenceAll commits a fence in every shard and returns the charges.
-func (c *Controller) FenceAll(ctx context.Context, incarnation string) (Charges, error) {
+// FenceAllShards commits a fence in every shard and returns the charges.
+func (c *Controller) FenceAllShards(ctx context.Context, incarnation string) (Charges, error) {
 	all := Charges{Totals: map[string]int64{}}
-	for n := range c.count {
+	for n := range c.shardCount {
 		outcome, err := c.fenceShard(ctx, n, incarnation)
 		if err != nil {
 			return all, err
@@ -175,7 +177,7 @@
 		for id, tokens := range outcome.Totals {
 			all.Totals[id] += tokens
 		}
-		all.Left = append(all.Left, outcome.Unbilled...)
+		all.Unbilled = append(all.Unbilled, outcome.Unbilled...)
 	}
 	return all, nil
 }
@@ -183,7 +185,7 @@
 func (c *Controller) fenceShard(ctx context.Context, n int, incarnation string) (ledger.Outcome, error) {
 	op := ledger.Op{Kind: ledger.Fence, Holder: incarnation}
 	for _, id := range c.owners(n) {
-		outcome, err := c.offer(ctx, id, n, op)
+		outcome, err := c.submitTo(ctx, id, n, op)
 		if err == nil && outcome.Verdict == ledger.Recorded {
 			return outcome, nil
 		}
@@ -191,8 +193,9 @@
 	return ledger.Outcome{}, errNoOwner
 }
 
-// BillFor commits the bill of an attempt that a fenced holder left.
-func (c *Controller) BillFor(ctx context.Context, op ledger.Op) error {
+// CommitBill commits the bill of an unbilled attempt of a fenced holder. It returns
+// an error if the bill is not committed.
+func (c *Controller) CommitBill(ctx context.Context, op ledger.Op) error {
 	outcome, _, err := c.submit(ctx, op)
 	if err == nil && outcome.Verdict != ledger.Recorded {
 		err = errNoOwner
@@ -200,21 +203,21 @@
 	return err
 }
 
-// copyElsewhere gives a held bill to the next owner in rank, so that the
-// death of this router alone does not lose it.
-func (c *Controller) copyElsewhere(ctx context.Context, op ledger.Op) {
-	n := ledger.ShardOf(op.Request, c.count)
+// replicateBill submits a buffered bill to the next owner in rank, so that the bill
+// is not lost if only this router dies.
+func (c *Controller) replicateBill(ctx context.Context, op ledger.Op) {
+	n := ledger.ShardOf(op.Request, c.shardCount)
 	for _, id := range c.owners(n) {
 		if id == c.members.Self().ID {
 			continue
 		}
-		if _, err := c.offer(ctx, id, n, op); err == nil {
+		if _, err := c.submitTo(ctx, id, n, op); err == nil {
 			return
 		}
 	}
 }
 
-// resubmit offers the bills that are not known to be committed.
+// resubmit submits again the bills that are not known to be committed.
 func (c *Controller) resubmit() {
 	c.mu.Lock()
 	bills := make(map[string]ledger.Op, len(c.bills))
@@ -240,17 +243,17 @@
 	return len(c.bills)
 }
 
-// Withdraw takes back a claim that did not run. It does not wait.
+// Withdraw cancels, in the background, a claim whose attempt was not dispatched.
 func (c *Controller) Withdraw(op ledger.Op) {
-	c.start(func() {
+	c.goTask(func() {
 		if _, _, err := c.submit(context.Background(), op); err != nil {
-			c.log.Warn("claim not withdrawn", zap.String("request", op.Request), zap.Error(err))
+			c.log.Warn("could not withdraw claim", zap.String("request", op.Request), zap.Error(err))
 		}
 	})
 }
 
-// Running tells whether the holder named in a busy outcome still serves the
-// request. A holder that does not answer is taken to be gone.
+// Running reports whether the holder named in a Busy outcome still serves the
+// request. A holder that does not answer is presumed gone.
 func (c *Controller) Running(ctx context.Context, outcome ledger.Outcome, request string) bool {
 	if outcome.Holder == c.incarnation {
 		return c.Serves(c.incarnation, outcome.Claim)
@@ -270,21 +273,21 @@
 	return resp.Running
 }
 
-// Serves tells whether this router serves a claim of its own incarnation.
+// Serves reports whether this process has the given incarnation and serves the claim.
 func (c *Controller) Serves(incarnation, claim string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return incarnation == c.incarnation && c.running[claim]
 }
 
-// Begin marks a claim as served here.
+// Begin marks a claim as being served by this router.
 func (c *Controller) Begin(claim string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[claim] = true
 }
 
-// Done ends Begin.
+// Done marks a claim as no longer being served.
 func (c *Controller) Done(claim string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/reclaims/left.go
+++ b/controller/reclaims/left.go
@@ -56,7 +56,7 @@
 		Tokens:  min(served, l.Worst),
 		Code:    int(result.BackendCut),
 	}
-	if err := c.ledgers.BillFor(ctx, op); err != nil {
+	if err := c.ledgers.CommitBill(ctx, op); err != nil {
 		c.log.Info("attempt of a dead router not billed", zap.String("request", l.Request), zap.Error(err))
 	}
 }
--- a/controller/reclaims/pages.go
+++ b/controller/reclaims/pages.go
@@ -57,7 +57,7 @@
 	if err := c.unchanged(ctx, now); err != nil {
 		return err
 	}
-	charged, err := c.ledgers.FenceAll(ctx, now.dead[0])
+	charged, err := c.ledgers.FenceAllShards(ctx, now.dead[0])
 	if err != nil {
 		return err
 	}
--- a/controller/reclaims/reclaims.go
+++ b/controller/reclaims/reclaims.go
@@ -339,12 +339,12 @@
 		}
 	}
 	for _, incarnation := range now.dead {
-		charges, err := c.ledgers.FenceAll(ctx, incarnation)
+		charges, err := c.ledgers.FenceAllShards(ctx, incarnation)
 		if err != nil {
 			return err
 		}
 		if now.gone[incarnation] {
-			c.billLeft(ctx, incarnation, charges.Left)
+			c.billLeft(ctx, incarnation, charges.Unbilled)
 		}
 	}
 	return nil
@@ -359,11 +359,11 @@
 		if answering == "" || answering == incarnation {
 			continue
 		}
-		charges, err := c.ledgers.FenceAll(ctx, incarnation)
+		charges, err := c.ledgers.FenceAllShards(ctx, incarnation)
 		if err != nil {
 			return err
 		}
-		c.billLeft(ctx, incarnation, charges.Left)
+		c.billLeft(ctx, incarnation, charges.Unbilled)
 		delete(c.silentDead, incarnation)
 		c.audits, c.settled = auditScans, []string{incarnation}
 	}
