--- a/controller/reclaims/pages.go
+++ b/controller/reclaims/pages.go
@@ -15,88 +15,88 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// pageAt is a page as it was read.
-type pageAt struct {
+// versionedPage is a page with the version at which it was read.
+type versionedPage struct {
 	page    *budget.Page
 	version int64
 }
 
-// conflictPause is the wait before pages that changed are computed again.
-const conflictPause = 20 * time.Millisecond
+// conflictDelay is the delay before pages that changed are read and settled again.
+const conflictDelay = 20 * time.Millisecond
 
-// settlePages takes back, or writes off, what the dead left in all pages. A
-// page that changed between the reading and the writing is computed again.
-func (c *Controller) settlePages(ctx context.Context, now census) error {
+// settlePages reclaims or writes off the stranded tokens of dead holders in all
+// pages. A page that changed between the read and the write is settled again.
+func (c *Controller) settlePages(ctx context.Context, snap snapshot) error {
 	left := make(map[int]bool, c.pages)
 	for n := range c.pages {
 		left[n] = true
 	}
 	for range pageTries {
-		if err := c.settleRound(ctx, now, left); err != nil {
+		if err := c.settleRound(ctx, snap, left); err != nil {
 			return err
 		}
 		if len(left) == 0 {
 			return nil
 		}
-		time.Sleep(conflictPause)
+		time.Sleep(conflictDelay)
 	}
-	return fmt.Errorf("%d budget pages keep changing", len(left))
+	return fmt.Errorf("%d budget pages still conflicted after the last try", len(left))
 }
 
-// settleRound computes and writes the pages that are left. The order of the
-// readings is what makes the computed rest safe; see budget.Stranded.
-func (c *Controller) settleRound(ctx context.Context, now census, left map[int]bool) error {
-	pages, err := c.readPages(ctx, left)
+// settleRound reads, settles and writes the remaining pages. The order of the reads
+// guarantees that the stranded tokens are never overestimated; see budget.Stranded.
+func (c *Controller) settleRound(ctx context.Context, snap snapshot, remaining map[int]bool) error {
+	pages, err := c.readPages(ctx, remaining)
 	if err != nil {
 		return err
 	}
-	holdings, err := c.holdings(ctx, now, pages)
+	holdings, err := c.holdings(ctx, snap, pages)
 	if err != nil {
 		return err
 	}
-	if err := c.unchanged(ctx, now); err != nil {
+	if err := c.verifyUnchanged(ctx, snap); err != nil {
 		return err
 	}
-	charged, err := c.ledgers.FenceAllShards(ctx, now.dead[0])
+	charged, err := c.ledgers.FenceAllShards(ctx, snap.dead[0])
 	if err != nil {
 		return err
 	}
 	for n, at := range pages {
-		done, err := c.settlePage(ctx, n, at, now, holdings, charged.Totals)
+		done, err := c.settlePage(ctx, n, at, snap, holdings, charged.Totals)
 		if err != nil {
 			return err
 		}
 		if done {
-			delete(left, n)
+			delete(remaining, n)
 		}
 	}
 	return nil
 }
 
-func (c *Controller) readPages(ctx context.Context, left map[int]bool) (map[int]pageAt, error) {
-	pages := map[int]pageAt{}
-	for n := range left {
+func (c *Controller) readPages(ctx context.Context, remaining map[int]bool) (map[int]versionedPage, error) {
+	pages := map[int]versionedPage{}
+	for n := range remaining {
 		page, version, err := budgets.ReadPage(ctx, c.store, n)
 		if err != nil {
 			return nil, err
 		}
 		if len(page.Budgets) == 0 {
-			delete(left, n)
+			delete(remaining, n)
 			continue
 		}
-		pages[n] = pageAt{page: page, version: version}
+		pages[n] = versionedPage{page: page, version: version}
 	}
 	return pages, nil
 }
 
-// holdings asks every live router what it holds of the pages' budgets.
-func (c *Controller) holdings(ctx context.Context, now census, pages map[int]pageAt) (map[string]map[string]budget.Holding, error) {
+// holdings asks every live router for its holdings of the budgets in pages.
+func (c *Controller) holdings(ctx context.Context, snap snapshot, pages map[int]versionedPage) (map[string]map[string]budget.Holding, error) {
 	var ids []string
 	for _, at := range pages {
 		ids = append(ids, at.page.Names()...)
 	}
 	all := map[string]map[string]budget.Holding{}
-	for incarnation, addr := range now.live {
+	for incarnation, addr := range snap.live {
 		held, err := c.holdingsOf(ctx, incarnation, addr, ids)
 		if err != nil {
 			return nil, err
@@ -122,13 +122,13 @@
 		return nil, err
 	}
 	if resp.Incarnation != incarnation {
-		return nil, errUnsettled
+		return nil, errRouterStateUnknown
 	}
 	return resp.Holdings, nil
 }
 
-// Holdings returns what this router holds, with what its unrecorded bills
-// spent.
+// Holdings returns this router's holdings, including the tokens of its bills that
+// are not yet recorded.
 func (c *Controller) Holdings(ids []string) map[string]budget.Holding {
 	held := c.budgets.Holdings(ids)
 	for id, tokens := range c.ledgers.UnrecordedTokens() {
@@ -140,31 +140,32 @@
 	return held
 }
 
-// unchanged makes sure that no router has registered or ended since the
-// census: one that did might hold tokens that were not counted.
-func (c *Controller) unchanged(ctx context.Context, now census) error {
+// verifyUnchanged returns an error if a router has registered or ended since the
+// snapshot: such a router might hold tokens that were not counted.
+func (c *Controller) verifyUnchanged(ctx context.Context, snap snapshot) error {
 	holders, err := c.list(ctx)
 	if err != nil {
 		return err
 	}
-	live := maps.Clone(now.live)
+	live := maps.Clone(snap.live)
 	for _, h := range holders {
 		if h.State != open {
 			continue
 		}
 		if _, counted := live[h.Incarnation]; !counted {
-			return errUnsettled
+			return errRouterStateUnknown
 		}
 		delete(live, h.Incarnation)
 	}
 	if len(live) > 0 {
-		return errUnsettled
+		return errRouterStateUnknown
 	}
 	return nil
 }
 
-// settlePage writes one page; false means that it changed meanwhile.
-func (c *Controller) settlePage(ctx context.Context, n int, at pageAt, now census, holdings map[string]map[string]budget.Holding, charged map[string]int64) (bool, error) {
+// settlePage settles and writes one page. It returns false if the page has changed
+// since it was read.
+func (c *Controller) settlePage(ctx context.Context, n int, at versionedPage, snap snapshot, holdings map[string]map[string]budget.Holding, charged map[string]int64) (bool, error) {
 	stranded := map[string]int64{}
 	var sum int64
 	for id, r := range at.page.Budgets {
@@ -174,20 +175,20 @@
 			sum += tokens
 		}
 	}
-	if sum == 0 && at.page.Knows(now.dead) {
+	if sum == 0 && at.page.Knows(snap.dead) {
 		return true, nil
 	}
-	if len(now.dead) == 1 {
-		at.page.Reclaim(now.dead, stranded)
+	if len(snap.dead) == 1 {
+		at.page.Reclaim(snap.dead, stranded)
 	} else {
-		at.page.WriteOff(now.dead, stranded)
+		at.page.WriteOff(snap.dead, stranded)
 	}
 	_, err := c.store.Update(ctx, budget.PageKey(n), at.version, at.page.Encode())
 	if errors.Is(err, store.ErrConflict) {
 		return false, nil
 	}
 	if err == nil && sum > 0 {
-		c.log.Warn("tokens of dead routers settled", zap.Int("page", n), zap.Int64("tokens", sum), zap.Bool("written_off", len(now.dead) > 1))
+		c.log.Warn("tokens of dead routers settled", zap.Int("page", n), zap.Int64("tokens", sum), zap.Bool("written_off", len(snap.dead) > 1))
 	}
 	return err == nil, err
 }
--- a/controller/reclaims/reclaims.go
+++ b/controller/reclaims/reclaims.go
@@ -1,15 +1,15 @@
-// Package reclaims brings back the tokens that a dead router left.
+// Package reclaims returns the tokens of dead routers to their budgets.
 //
-// Every router process registers in the store before it holds a token. When
-// one is gone, or silent for long, it is fenced: first its registration is
-// closed, then every live router refuses its messages and claims, then the
-// fence is committed in every ledger shard. After that it can spend nothing,
-// dead or merely paused, and what it spent is known: each dispatch was told to
-// another process before. What is issued, not held by a live router and not
-// charged goes back to its budget.
+// Every router process registers in the store before it holds a token. A process
+// that is gone, or has not answered for long, is fenced: first its registration is
+// closed, then every live router rejects its messages and claims, then the fence
+// is committed in every ledger shard. After that the process can spend nothing,
+// whether it is dead or only paused, and its spending is known, because each
+// dispatch was recorded by another process beforehand. Tokens that are issued, not
+// held by a live router and not charged are returned to their budget.
 //
-// If several routers die together, the dispatches that one told only to the
-// other may be unknown. What they left is then written off: it counts as
+// If several routers die together, the dispatches that one recorded only at
+// another may be unknown. Their tokens are then written off, that is, counted as
 // spent.
 package reclaims
 
@@ -34,19 +34,19 @@
 )
 
 const (
-	// prefix is where holders are registered.
+	// prefix is the store prefix of the holder registrations.
 	prefix = "holders/"
-	// role ranks the router that looks for dead ones.
-	role      = "reclaim"
-	scanEvery = time.Second
-	// membersPerScan is how many members may be asked in one scanEvery.
+	// role is the role name by which the router that scans for dead ones is ranked.
+	role         = "reclaim"
+	scanInterval = time.Second
+	// membersPerScan is the number of members that may be asked per scanInterval.
 	membersPerScan = 15
 	whoTimeout     = 500 * time.Millisecond
-	// auditScans is how many scans after a reclaim look again.
-	auditScans = 10
-	// barrierTimeout bounds the barrier at one router.
+	// recheckScans is the number of scans after a reclaim that check the pages again.
+	recheckScans = 10
+	// barrierTimeout bounds one barrier or holdings call to a router.
 	barrierTimeout = 3 * time.Second
-	// pageTries is how often a page that changes meanwhile is computed again.
+	// pageTries is the number of rounds in which conflicting pages are settled.
 	pageTries = 10
 )
 
@@ -57,21 +57,22 @@
 	State       state  `json:"state"`
 }
 
-// state is how far a holder is ended.
+// state is the state of a holder registration.
 type state string
 
 const (
 	open state = "open"
-	// fencing: it is being fenced, and may not come back.
+	// fencing: the holder is being fenced and may not rejoin.
 	fencing state = "fencing"
-	// fenced: what it left is settled.
+	// fenced: the tokens of the holder are settled.
 	fenced state = "fenced"
 )
 
-// errUnsettled means that the fleet is not in a state to reclaim in.
-var errUnsettled = errors.New("a router neither answers nor is known to be gone")
+// errRouterStateUnknown means that tokens cannot be reclaimed now, because the state
+// of a router is unknown or has changed.
+var errRouterStateUnknown = errors.New("a router does not answer but is not known to be gone, or routers changed during the scan")
 
-// Controller looks for dead routers when it is ranked first for it.
+// Controller scans for dead routers while this router is ranked first for the role.
 type Controller struct {
 	store   store.Store
 	members *members.Controller
@@ -83,40 +84,40 @@
 	log     *zap.Logger
 	self    holder
 	pages   int
-	// silentFor is how long a router must not answer to be fenced.
-	silentFor time.Duration
-	silent    map[string]time.Time
-	// silentDead are the instances of incarnations that were fenced for
-	// silence and whose attempts are charged their worst case.
-	silentDead map[string]string
-	// audits are the scans that still look for what an earlier one counted
-	// twice, and settled are the holders whose tokens are looked for.
-	audits  int
-	settled []string
+	// silentFor is how long a router must not answer before it is fenced.
+	silentFor   time.Duration
+	silentSince map[string]time.Time
+	// fencedSilent maps incarnations that were fenced because they did not
+	// answer, and whose attempts are charged their worst case, to instances.
+	fencedSilent map[string]string
+	// rechecksLeft is the number of further scans that look for tokens that an
+	// earlier scan counted twice. recheckHolders are the holders concerned.
+	rechecksLeft   int
+	recheckHolders []string
 }
 
 // New returns a controller.
 func New(incarnation string, pages int, silentFor time.Duration, s store.Store, m *members.Controller, b *budgets.Controller, l *ledgers.Controller, t *tables.Controller, e *engine.Client, p *peer.Client, log *zap.Logger) *Controller {
 	return &Controller{
-		tables:    t,
-		engines:   e,
-		store:     s,
-		members:   m,
-		budgets:   b,
-		ledgers:   l,
-		peers:     p,
-		log:       log,
-		self:      holder{Incarnation: incarnation, Instance: m.Self().ID, State: open},
-		pages:     pages,
-		silentFor: silentFor,
-		silent:    map[string]time.Time{},
+		tables:      t,
+		engines:     e,
+		store:       s,
+		members:     m,
+		budgets:     b,
+		ledgers:     l,
+		peers:       p,
+		log:         log,
+		self:        holder{Incarnation: incarnation, Instance: m.Self().ID, State: open},
+		pages:       pages,
+		silentFor:   silentFor,
+		silentSince: map[string]time.Time{},
 
-		silentDead: map[string]string{},
+		fencedSilent: map[string]string{},
 	}
 }
 
-// Register makes this process known and learns which others are fenced. The
-// router takes no request before it succeeded.
+// Register registers this process in the store and fences the holders that are
+// marked as such there. The router accepts no requests until Register succeeds.
 func (c *Controller) Register(ctx context.Context) error {
 	value, err := json.Marshal(c.self)
 	if err != nil {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// Deregister removes the registration at the end of a planned stop.
+// Deregister removes the registration of this process at the end of a planned stop.
 func (c *Controller) Deregister(ctx context.Context) {
 	key := prefix + c.self.Incarnation
 	if o, err := c.store.Get(ctx, key); err == nil {
@@ -146,13 +147,14 @@
 	}
 }
 
-// Fence accepts nothing more from an incarnation here.
+// Fence makes this router reject all messages and claims of an incarnation.
 func (c *Controller) Fence(incarnation string) {
 	c.budgets.Fence(incarnation)
 	c.ledgers.Fence(incarnation)
 }
 
-// Barrier is this router's part of a fence.
+// Barrier fences incarnations on this router and commits the ledger ops that it
+// has buffered.
 func (c *Controller) Barrier(ctx context.Context, fenced []string) error {
 	for _, incarnation := range fenced {
 		c.Fence(incarnation)
@@ -160,18 +162,18 @@
 	return c.ledgers.Barrier(ctx, fenced[0])
 }
 
-// Run looks for dead routers until the context ends.
+// Run scans for dead routers until the context is cancelled.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(scanEvery)
+	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
 		select {
 		case <-ticker.C:
-			if tick%c.every() != 0 || c.members.First(clock.Now(), role) != c.self.Instance {
+			if tick%c.ticksPerScan() != 0 || c.members.First(clock.Now(), role) != c.self.Instance {
 				continue
 			}
 			if err := c.scan(ctx); err != nil && ctx.Err() == nil {
-				c.log.Info("nothing reclaimed", zap.Error(err))
+				c.log.Info("scan for dead routers failed; no tokens reclaimed", zap.Error(err))
 			}
 		case <-ctx.Done():
 			return
@@ -179,9 +181,9 @@
 	}
 }
 
-// every returns at which tick to scan: a large fleet is asked less often, so
-// that the asking router spends the same on it.
-func (c *Controller) every() int {
+// ticksPerScan returns the number of ticks between two scans. A large fleet is
+// scanned less often, so that the load on the scanning router stays the same.
+func (c *Controller) ticksPerScan() int {
 	return len(c.members.Members())/membersPerScan + 1
 }
 
@@ -201,61 +203,61 @@
 	return holders, nil
 }
 
-// census is what is known of the open holders.
-type census struct {
-	live map[string]string // address by incarnation
+// snapshot is the classification of all holders in one scan.
+type snapshot struct {
+	live map[string]string // addresses by incarnation
 	dead []string          // incarnations
-	// gone are those of the dead whose instance runs another process. The
-	// others are merely silent: they may still be serving their callers.
+	// gone contains the dead whose instance runs a different process. The other
+	// dead only do not answer and may still be serving their callers.
 	gone map[string]bool
 }
 
-// scan fences dead holders and reclaims what they left.
+// scan fences dead holders and reclaims their tokens.
 func (c *Controller) scan(ctx context.Context) error {
 	holders, err := c.list(ctx)
 	if err != nil {
 		return err
 	}
-	now, err := c.take(ctx, holders)
+	snap, err := c.classify(ctx, holders)
 	if err != nil {
 		return err
 	}
-	if len(now.dead) == 0 {
-		if err := c.billSilent(ctx); err != nil {
+	if len(snap.dead) == 0 {
+		if err := c.billFencedSilent(ctx); err != nil {
 			return err
 		}
-		return c.audit(ctx, now)
+		return c.recheck(ctx, snap)
 	}
-	c.log.Warn("fencing dead routers", zap.Strings("incarnations", now.dead))
-	if err := c.fence(ctx, now); err != nil {
+	c.log.Warn("fencing dead routers", zap.Strings("incarnations", snap.dead))
+	if err := c.fence(ctx, snap); err != nil {
 		return err
 	}
-	if err := c.settlePages(ctx, now); err != nil {
+	if err := c.settlePages(ctx, snap); err != nil {
 		return err
 	}
-	c.audits, c.settled = 0, nil
-	if len(now.dead) == 1 {
-		c.audits, c.settled = auditScans, now.dead
+	c.rechecksLeft, c.recheckHolders = 0, nil
+	if len(snap.dead) == 1 {
+		c.rechecksLeft, c.recheckHolders = recheckScans, snap.dead
 	}
-	return c.forget(ctx, now.dead)
+	return c.markFenced(ctx, snap.dead)
 }
 
-// audit looks again for tokens of a holder that was settled lately. While
-// requests end between the readings, their tokens count as held and as charged
-// both, and the rest comes out too small; it never comes out too large.
-func (c *Controller) audit(ctx context.Context, now census) error {
-	if c.audits == 0 {
+// recheck settles the pages again for holders that were settled recently. Tokens of
+// requests that end between the reads are counted both as held and as charged, so
+// the amount reclaimed can be too small but never too large.
+func (c *Controller) recheck(ctx context.Context, snap snapshot) error {
+	if c.rechecksLeft == 0 {
 		return nil
 	}
-	c.audits--
-	now.dead = c.settled
-	return c.settlePages(ctx, now)
+	c.rechecksLeft--
+	snap.dead = c.recheckHolders
+	return c.settlePages(ctx, snap)
 }
 
-// take asks all open holders. A holder is dead if its instance runs another
-// process, or has not answered for long.
-func (c *Controller) take(ctx context.Context, holders []holder) (census, error) {
-	now := census{live: map[string]string{}, gone: map[string]bool{}}
+// classify queries the instances of all open holders. A holder is dead if its
+// instance runs a different process, or has not answered for silentFor.
+func (c *Controller) classify(ctx context.Context, holders []holder) (snapshot, error) {
+	snap := snapshot{live: map[string]string{}, gone: map[string]bool{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	unsettled := false
@@ -265,50 +267,51 @@
 			continue
 		case fencing:
 			mu.Lock()
-			now.dead = append(now.dead, h.Incarnation)
+			snap.dead = append(snap.dead, h.Incarnation)
 			mu.Unlock()
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			addr, answering := c.who(ctx, h.Instance)
+			addr, answering := c.processAt(ctx, h.Instance)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case answering == h.Incarnation:
-				now.live[h.Incarnation] = addr
-				delete(c.silent, h.Incarnation)
+				snap.live[h.Incarnation] = addr
+				delete(c.silentSince, h.Incarnation)
 			case answering != "":
-				now.gone[h.Incarnation] = true
-				now.dead = append(now.dead, h.Incarnation)
-			case c.silentLong(h.Incarnation):
-				c.silentDead[h.Incarnation] = h.Instance
-				now.dead = append(now.dead, h.Incarnation)
+				snap.gone[h.Incarnation] = true
+				snap.dead = append(snap.dead, h.Incarnation)
+			case c.silentTooLong(h.Incarnation):
+				c.fencedSilent[h.Incarnation] = h.Instance
+				snap.dead = append(snap.dead, h.Incarnation)
 			default:
 				unsettled = true
 			}
 		}()
 	}
 	wg.Wait()
-	sort.Strings(now.dead)
-	if unsettled && len(now.dead) > 0 {
-		return census{}, errUnsettled
+	sort.Strings(snap.dead)
+	if unsettled && len(snap.dead) > 0 {
+		return snapshot{}, errRouterStateUnknown
 	}
-	return now, nil
+	return snap, nil
 }
 
-func (c *Controller) silentLong(incarnation string) bool {
-	since, known := c.silent[incarnation]
+func (c *Controller) silentTooLong(incarnation string) bool {
+	since, known := c.silentSince[incarnation]
 	if !known {
-		c.silent[incarnation] = clock.Now()
+		c.silentSince[incarnation] = clock.Now()
 		return false
 	}
 	return clock.Since(since) >= c.silentFor
 }
 
-// who asks an instance which process runs there; empty if none answers.
-func (c *Controller) who(ctx context.Context, instance string) (addr, incarnation string) {
+// processAt returns the address of an instance and the incarnation that runs there,
+// or an empty incarnation if none answers.
+func (c *Controller) processAt(ctx context.Context, instance string) (addr, incarnation string) {
 	addr, ok := c.members.Addr(instance)
 	if !ok {
 		return "", ""
@@ -325,37 +328,38 @@
 	return addr, resp.Incarnation
 }
 
-// fence closes the registrations, then raises the barrier at all live
-// routers, then commits the fence in all shards.
-func (c *Controller) fence(ctx context.Context, now census) error {
-	for _, incarnation := range now.dead {
-		if err := c.mark(ctx, incarnation, fencing); err != nil {
+// fence closes the registrations of the dead, then calls Barrier on all live
+// routers, then commits the fence in all ledger shards.
+func (c *Controller) fence(ctx context.Context, snap snapshot) error {
+	for _, incarnation := range snap.dead {
+		if err := c.setState(ctx, incarnation, fencing); err != nil {
 			return err
 		}
 	}
-	for incarnation, addr := range now.live {
-		if err := c.barrier(ctx, incarnation, addr, now.dead); err != nil {
+	for incarnation, addr := range snap.live {
+		if err := c.barrier(ctx, incarnation, addr, snap.dead); err != nil {
 			return err
 		}
 	}
-	for _, incarnation := range now.dead {
+	for _, incarnation := range snap.dead {
 		charges, err := c.ledgers.FenceAllShards(ctx, incarnation)
 		if err != nil {
 			return err
 		}
-		if now.gone[incarnation] {
-			c.billLeft(ctx, incarnation, charges.Unbilled)
+		if snap.gone[incarnation] {
+			c.billUnbilled(ctx, incarnation, charges.Unbilled)
 		}
 	}
 	return nil
 }
 
-// billSilent bills what routers left that were fenced for silence, once their
-// instance runs another process. Asking the engines cancels an attempt, and a
-// router that was only cut off or paused may still be streaming it.
-func (c *Controller) billSilent(ctx context.Context) error {
-	for incarnation, instance := range c.silentDead {
-		_, answering := c.who(ctx, instance)
+// billFencedSilent bills the attempts of routers that were fenced because they did
+// not answer, once their instance runs a different process. Billing cancels the
+// attempts at the engines, and a router that was only partitioned or paused may
+// still be streaming them.
+func (c *Controller) billFencedSilent(ctx context.Context) error {
+	for incarnation, instance := range c.fencedSilent {
+		_, answering := c.processAt(ctx, instance)
 		if answering == "" || answering == incarnation {
 			continue
 		}
@@ -363,9 +367,9 @@
 		if err != nil {
 			return err
 		}
-		c.billLeft(ctx, incarnation, charges.Unbilled)
-		delete(c.silentDead, incarnation)
-		c.audits, c.settled = auditScans, []string{incarnation}
+		c.billUnbilled(ctx, incarnation, charges.Unbilled)
+		delete(c.fencedSilent, incarnation)
+		c.rechecksLeft, c.recheckHolders = recheckScans, []string{incarnation}
 	}
 	return nil
 }
@@ -380,8 +384,8 @@
 	return err
 }
 
-// mark moves a registration's state on.
-func (c *Controller) mark(ctx context.Context, incarnation string, to state) error {
+// setState updates the state of a registration.
+func (c *Controller) setState(ctx context.Context, incarnation string, to state) error {
 	key := prefix + incarnation
 	o, err := c.store.Get(ctx, key)
 	if err != nil {
@@ -403,13 +407,13 @@
 	return err
 }
 
-// forget marks the dead as settled.
-func (c *Controller) forget(ctx context.Context, dead []string) error {
+// markFenced marks the dead as fenced after their tokens were settled.
+func (c *Controller) markFenced(ctx context.Context, dead []string) error {
 	for _, incarnation := range dead {
-		if err := c.mark(ctx, incarnation, fenced); err != nil {
+		if err := c.setState(ctx, incarnation, fenced); err != nil {
 			return err
 		}
-		delete(c.silent, incarnation)
+		delete(c.silentSince, incarnation)
 	}
 	return nil
 }
