--- a/controller/tables/tables.go
+++ b/controller/tables/tables.go
@@ -1,10 +1,11 @@
 // Package tables keeps the configuration current and decides operators'
 // changes for the whole fleet.
 //
-// A change is a proposal in the store's log, acknowledged by every listed
-// router, then committed by a conditional update of that log entry; or it is
-// refused, naming who could not follow. The conditional update is the only
-// point of decision, so any router may finish what a dead proposer left.
+// A change is written as a proposal to the store's log, acknowledged by every
+// listed router, and then committed by a conditional update of that log entry. If
+// a router does not acknowledge, the change is refused and the router is named. Only
+// the conditional update decides the outcome, so any router may finalize a proposal
+// whose proposer has died.
 package tables
 
 import (
@@ -26,24 +27,24 @@
 )
 
 const (
-	watchWait = 20 * time.Second
-	retryWait = 300 * time.Millisecond
-	// abandonAfter is when a proposal without an outcome is refused by
-	// whoever sees it.
+	watchTimeout = 20 * time.Second
+	retryDelay   = 300 * time.Millisecond
+	// abandonAfter is the age at which any router may refuse an undecided
+	// proposal.
 	abandonAfter = 10 * time.Second
-	// decideTimeout bounds telling one peer the outcome.
+	// decideTimeout bounds the broadcast of an outcome and the peer queries of Confirm.
 	decideTimeout = time.Second
-	// pollEvery is how often a router with an undecided change asks for the
-	// outcome.
-	pollEvery = 500 * time.Millisecond
+	// pollInterval is the interval at which a router reads the outcome of an
+	// undecided change.
+	pollInterval = 500 * time.Millisecond
 )
 
 // Options are the settings of the controller.
 type Options struct {
 	// DecideWithin is how long an acknowledged change may stay undecided
-	// before its rows take no new work.
+	// before requests that use its rows are refused.
 	DecideWithin time.Duration
-	// AckWithin is how long a proposer waits for acknowledgements.
+	// AckWithin is how long a proposer waits for all acknowledgements.
 	AckWithin time.Duration
 }
 
@@ -60,7 +61,7 @@
 	state       atomic.Pointer[table.State]
 	onChange    []func(*table.State)
 	ready       atomic.Bool
-	proposing   sync.Mutex
+	proposeMu   sync.Mutex
 }
 
 // New returns a controller with the empty configuration.
@@ -77,7 +78,7 @@
 	return c
 }
 
-// OnChange registers a function that gets each new configuration. Call it
+// OnChange registers a function that is called with each new configuration. Call it
 // before Run.
 func (c *Controller) OnChange(fn func(*table.State)) {
 	c.onChange = append(c.onChange, fn)
@@ -86,10 +87,11 @@
 // State returns the configuration in force. Callers must not change it.
 func (c *Controller) State() *table.State { return c.state.Load() }
 
-// Ready tells whether the configuration was read once.
+// Ready reports whether the configuration has been read from the store.
 func (c *Controller) Ready() bool { return c.ready.Load() }
 
-// Blocked tells whether the rows of a request await a change's outcome.
+// Blocked reports whether requests of account for target are blocked by an undecided
+// change.
 func (c *Controller) Blocked(account, target string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +101,7 @@
 // Routers returns the number of live routers.
 func (c *Controller) Routers() int { return c.members.Live() }
 
-// Run follows the store's log until the context ends.
+// Run reads the store's log and applies its changes until the context is cancelled.
 func (c *Controller) Run(ctx context.Context) {
 	go c.pollPending(ctx)
 	var since int64
@@ -107,7 +109,7 @@
 		if !c.ready.Load() || since == 0 {
 			since = c.reload(ctx)
 			if since == 0 {
-				_ = wait.For(ctx, retryWait)
+				_ = wait.For(ctx, retryDelay)
 				continue
 			}
 		}
@@ -115,38 +117,39 @@
 	}
 }
 
-// reload reads the whole log and returns the store revision it was read at;
-// 0 means that the store did not answer.
+// reload reads the whole log and returns the store revision at which it was read, or
+// 0 if the store did not answer.
 func (c *Controller) reload(ctx context.Context) int64 {
 	objects, rev, err := c.store.List(ctx, table.LogPrefix)
 	if err != nil {
 		return 0
 	}
-	c.absorb(objects)
+	c.applyEntries(objects)
 	c.ready.Store(true)
 	return max(rev, 1)
 }
 
-// watch waits for changes of the log; it returns 0 to list again.
+// watch waits for changes of the log and returns the revision to watch from next, or
+// 0 if the log must be listed again.
 func (c *Controller) watch(ctx context.Context, since int64) int64 {
-	ev, err := c.store.Watch(ctx, table.LogPrefix, since, watchWait)
+	ev, err := c.store.Watch(ctx, table.LogPrefix, since, watchTimeout)
 	if err != nil {
-		_ = wait.For(ctx, retryWait)
+		_ = wait.For(ctx, retryDelay)
 		return since
 	}
 	if ev.Gap {
 		return 0
 	}
-	c.absorb(ev.Objects)
+	c.applyEntries(ev.Objects)
 	return max(ev.Revision, since)
 }
 
-// absorb takes entries of the log in order.
-func (c *Controller) absorb(objects []store.Object) {
+// applyEntries applies log entries in order.
+func (c *Controller) applyEntries(objects []store.Object) {
 	for _, o := range objects {
 		change, err := table.DecodeChange(o.Value)
 		if err != nil {
-			c.log.Error("configuration entry is not readable", zap.String("key", o.Key), zap.Error(err))
+			c.log.Error("cannot decode configuration log entry", zap.String("key", o.Key), zap.Error(err))
 			continue
 		}
 		if change.Status == table.Proposed {
@@ -163,7 +166,7 @@
 	return c.participant.Prepare(clock.Now(), change)
 }
 
-// Decide takes a final change and returns the revision then in force.
+// Decide applies a decided change and returns the revision in force afterwards.
 func (c *Controller) Decide(change table.Change) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,8 +180,8 @@
 	return c.participant.State().Revision
 }
 
-// Prepare acknowledges a proposal, after catching up from the store if
-// needed.
+// Prepare acknowledges a proposal, reloading the log from the store first if
+// needed. It returns whether the proposal is acknowledged and the revision in force.
 func (c *Controller) Prepare(ctx context.Context, change table.Change) (ok bool, revision int64) {
 	if !c.prepare(change) {
 		c.reload(ctx)
@@ -188,22 +191,22 @@
 	return true, c.State().Revision
 }
 
-// pollPending asks for the outcome of an undecided change, and finishes what
-// a dead proposer left.
+// pollPending periodically resolves an undecided change until the context is
+// cancelled.
 func (c *Controller) pollPending(ctx context.Context) {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			c.askOutcome(ctx)
+			c.resolvePending(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Controller) askOutcome(ctx context.Context) {
+func (c *Controller) resolvePending(ctx context.Context) {
 	c.mu.Lock()
 	revision := c.participant.Pending()
 	c.mu.Unlock()
@@ -219,7 +222,7 @@
 		return
 	}
 	if change.Status == table.Proposed && time.Since(change.At) > abandonAfter {
-		change, err = c.finish(ctx, change, o.Version, table.Refused, []string{"proposer gone"})
+		change, err = c.finalize(ctx, change, o.Version, table.Refused, []string{"proposer gone"})
 		if err != nil {
 			return
 		}
@@ -227,40 +230,41 @@
 	c.Decide(change)
 }
 
-// proposeTries bounds how often a proposal that lost the race for a revision,
-// and conflicts with nothing, is made again at the next one.
-const proposeTries = 3
+// maxProposeTries is the number of times that a change is proposed if other proposals
+// take its revision but do not conflict with it.
+const maxProposeTries = 3
 
-// Propose decides a change for the fleet. skip names instances that the
-// operator attests to be terminated. The returned change is final.
+// Propose proposes a change to the fleet and decides it. skip lists instances that
+// the operator attests to be terminated; they need not acknowledge. The returned
+// change is final unless its proposal or decision could not be written.
 func (c *Controller) Propose(ctx context.Context, change table.Change, skip []string) (table.Change, error) {
-	c.proposing.Lock()
-	defer c.proposing.Unlock()
+	c.proposeMu.Lock()
+	defer c.proposeMu.Unlock()
 	change.Skipped = skip
-	proposed, version, err := c.enter(ctx, change)
+	proposed, version, err := c.writeProposal(ctx, change)
 	if err != nil {
 		return change, err
 	}
-	missing := c.collect(ctx, proposed, skip)
+	missing := c.collectAcks(ctx, proposed, skip)
 	status := table.Committed
 	if len(missing) > 0 {
 		status = table.Refused
 	}
-	final, err := c.finish(ctx, proposed, version, status, missing)
+	final, err := c.finalize(ctx, proposed, version, status, missing)
 	if err != nil {
 		return change, err
 	}
 	c.Decide(final)
 	c.broadcast(ctx, final)
-	return final, verdict(final)
+	return final, outcomeError(final)
 }
 
-// enter checks a change and puts its proposal into the log. The configuration
-// known here is taken to be the newest; if the log says otherwise, it is read
-// and the change is checked again.
-func (c *Controller) enter(ctx context.Context, change table.Change) (table.Change, int64, error) {
+// writeProposal checks a change and writes its proposal to the log, assuming that the
+// local configuration is the newest. If the log has a newer one, the log is read and
+// the change is checked again.
+func (c *Controller) writeProposal(ctx context.Context, change table.Change) (table.Change, int64, error) {
 	var err error
-	for range proposeTries {
+	for range maxProposeTries {
 		s := c.State()
 		if err = table.Check(s, change); err != nil {
 			return change, 0, err
@@ -270,7 +274,7 @@
 		change.At = time.Now().UTC()
 		recordBefore(s, &change)
 		var version int64
-		if version, err = c.create(ctx, change); err == nil {
+		if version, err = c.createEntry(ctx, change); err == nil {
 			return change, version, nil
 		}
 		if result.From(err).Code != result.RowConflict || c.reload(ctx) == 0 || c.State().Revision == s.Revision {
@@ -280,15 +284,16 @@
 	return change, 0, err
 }
 
-// verdict is the operator's answer for a final change.
-func verdict(final table.Change) error {
+// outcomeError returns nil for a committed change and an error that lists the missing
+// acknowledgements for a refused one.
+func outcomeError(final table.Change) error {
 	if final.Status == table.Committed {
 		return nil
 	}
 	return result.New(result.CannotFollow, "refused; could not follow: %v", final.Missing)
 }
 
-// recordBefore keeps what each edit replaces, for the audit trail.
+// recordBefore stores the value that each edit replaces, for the audit trail.
 func recordBefore(s *table.State, change *table.Change) {
 	for i := range change.Edits {
 		e := &change.Edits[i]
@@ -298,12 +303,12 @@
 	}
 }
 
-// create puts the proposal into the log. Losing the race to another proposer
-// is a conflict that the operator is told of.
-func (c *Controller) create(ctx context.Context, change table.Change) (int64, error) {
+// createEntry writes the proposal to the log. It returns a RowConflict error that names
+// the other operator if another proposal has taken the revision.
+func (c *Controller) createEntry(ctx context.Context, change table.Change) (int64, error) {
 	key := table.LogKey(change.Revision)
 	listed := make(chan struct{})
-	go func() { // beside the create, so that a slow store is waited for once
+	go func() { // in parallel with the create, so that a slow store delays the change only once
 		defer close(listed)
 		c.members.Refresh(ctx)
 	}()
@@ -326,8 +331,9 @@
 	return 0, result.New(result.RowConflict, "another operator (%s) is changing the table; look again and repeat", stored.Operator)
 }
 
-// collect gathers acknowledgements and returns who did not give one.
-func (c *Controller) collect(ctx context.Context, change table.Change, skip []string) []string {
+// collectAcks asks all members except those in skip to acknowledge a change and
+// returns the IDs of those that did not.
+func (c *Controller) collectAcks(ctx context.Context, change table.Change, skip []string) []string {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.AckWithin)
 	defer cancel()
 	skipped := map[string]bool{}
@@ -355,7 +361,8 @@
 	return missing
 }
 
-// acknowledged asks one router until it acknowledges or the time is up.
+// acknowledged asks one router repeatedly until it acknowledges the change or the
+// context ends.
 func (c *Controller) acknowledged(ctx context.Context, id string, change table.Change) bool {
 	if id == c.members.Self().ID {
 		return c.prepare(change)
@@ -369,14 +376,14 @@
 		if err == nil && resp.OK {
 			return true
 		}
-		_ = wait.For(ctx, retryWait/3)
+		_ = wait.For(ctx, retryDelay/3)
 	}
 	return false
 }
 
-// finish makes the entry final by a conditional update and returns the final
-// change as the log has it, which may be another's decision.
-func (c *Controller) finish(ctx context.Context, change table.Change, version int64, status table.Status, missing []string) (table.Change, error) {
+// finalize decides a log entry by a conditional update and returns the decided change
+// as stored in the log, which may be the decision of another router.
+func (c *Controller) finalize(ctx context.Context, change table.Change, version int64, status table.Status, missing []string) (table.Change, error) {
 	final := change
 	final.Status = status
 	final.Missing = missing
@@ -388,7 +395,7 @@
 	for range 3 {
 		o, getErr := c.store.Get(ctx, key)
 		if getErr != nil {
-			_ = wait.For(ctx, retryWait)
+			_ = wait.For(ctx, retryDelay)
 			continue
 		}
 		stored, decodeErr := table.DecodeChange(o.Value)
@@ -404,7 +411,7 @@
 	return change, result.New(result.ChangeOutcomeLost, "the store did not confirm the decision").Wrap(err)
 }
 
-// broadcast tells all members the outcome; who does not hear it learns it
+// broadcast sends the outcome to all members. Members that do not receive it read it
 // from the store.
 func (c *Controller) broadcast(ctx context.Context, final table.Change) {
 	ctx, cancel := context.WithTimeout(ctx, decideTimeout)
@@ -419,14 +426,14 @@
 			defer wg.Done()
 			_, err := peer.Call[peer.DecideRequest, peer.DecideAnswer](ctx, c.peers, m.Addr, peer.MethodDecide, &peer.DecideRequest{Change: final})
 			if err != nil {
-				c.log.Info("outcome not told", zap.String("instance", m.ID), zap.Error(err))
+				c.log.Info("could not send the outcome of a configuration change", zap.String("instance", m.ID), zap.Error(err))
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// Log reads the whole configuration log, refused changes among it.
+// Log returns the whole configuration log, including refused changes.
 func (c *Controller) Log(ctx context.Context) ([]table.Change, error) {
 	objects, _, err := c.store.List(ctx, table.LogPrefix)
 	if err != nil {
@@ -443,8 +450,9 @@
 	return changes, nil
 }
 
-// Confirm makes sure, after a pause, that the configuration in force is the
-// fleet's: from the store, or else from a peer that knows nothing newer.
+// Confirm verifies, after the process was paused, that the local configuration is
+// current. It reloads the log from the store, or else asks for a peer that has no
+// newer revision.
 func (c *Controller) Confirm(ctx context.Context) bool {
 	if c.reload(ctx) != 0 {
 		return true
