--- a/controller/verdicts/operate.go
+++ b/controller/verdicts/commands.go
@@ -7,30 +7,30 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// The commands of operators.
+// Operator commands.
 const (
 	CommandList = "verdict.list"
 	CommandLift = "verdict.lift"
 )
 
-// Listed is a verdict as operators see it.
+// Listed is a verdict as shown to operators.
 type Listed struct {
 	Fingerprint string `json:"fingerprint"`
 	// Number counts the verdicts on the request.
 	Number  int    `json:"number"`
 	Service string `json:"service"`
-	// Servers are the ids of those that ended under the request.
+	// Servers are the ids of those that crashed while the request ran.
 	Servers []string `json:"servers"`
-	// HeldForSeconds is how much longer it holds.
+	// HeldForSeconds is the remaining time for which the request is blocked.
 	HeldForSeconds float64 `json:"held_for_seconds"`
 }
 
-// LiftArgs names the verdict to lift.
+// LiftArgs are the arguments of CommandLift.
 type LiftArgs struct {
 	Fingerprint string `json:"fingerprint"`
 }
 
-// Do carries out an operator's command and returns its result.
+// Do executes an operator command and returns its result.
 func (c *Controller) Do(operator, command string, args []byte) (any, error) {
 	switch command {
 	case CommandList:
--- /dev/null
+++ b/controller/verdicts/liveness.go
@@ -0,0 +1,82 @@
+package verdicts
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/gaplink/gaplink/placement"
+	"github.com/gaplink/gaplink/poison"
+	"github.com/gaplink/gaplink/upstream"
+	"github.com/gaplink/gaplink/wait"
+)
+
+const (
+	// settleDelay is the time between the first broken response and the liveness check: when a
+	// process exits, all its connections break within a round trip, and its machine refuses
+	// new ones from then on.
+	settleDelay = 20 * time.Millisecond
+	// checkTimeout bounds the liveness check.
+	checkTimeout = 400 * time.Millisecond
+)
+
+// livenessCheck is a check of a process that is under way, and the requests whose responses
+// broke off there.
+type livenessCheck struct {
+	server placement.Server
+	// planned is set if the process was already draining when the first response broke off.
+	planned  bool
+	requests map[poison.Fingerprint]bool
+	done     chan struct{}
+}
+
+// Broke records that the response of a server to a request broke off, or never came because
+// the connection closed. The cause may be the process, one connection, a link or a single
+// response: one liveness check of the process covers all requests that broke off there. The
+// returned channel is closed when its result is known, within some tens of milliseconds.
+func (c *Controller) Broke(s placement.Server, request poison.Fingerprint) <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	check := c.checks[s.Incarnation()]
+	if check == nil {
+		check = &livenessCheck{server: s, planned: !c.Servers.TakesWork(s.Incarnation()), requests: map[poison.Fingerprint]bool{}, done: make(chan struct{})}
+		c.checks[s.Incarnation()] = check
+		go c.checkLiveness(check)
+	}
+	check.requests[request] = true
+	return check.done
+}
+
+// checkLiveness finds out whether a process has crashed, and if so applies a crash report. The
+// planned exit of a draining process does not count as a crash, and a process that may only be
+// unreachable counts as alive: reporting either would put requests under suspicion that merely
+// ran there.
+func (c *Controller) checkLiveness(check *livenessCheck) {
+	defer close(check.done)
+	ctx, cancel := context.WithTimeout(context.Background(), settleDelay+checkTimeout)
+	defer cancel()
+	_ = wait.For(ctx, settleDelay)
+	in := check.server.Incarnation()
+	found := c.Checker.Check(ctx, check.server.Address, in)
+	requests := c.finishCheck(check)
+	c.Log.Info("answers broke off", zap.String("server", in.ID), zap.Int64("started", in.Started), zap.String("service", check.server.Service),
+		zap.Stringer("process", found), zap.Bool("planned", check.planned), zap.Stringers("fingerprints", requests))
+	if found != upstream.Gone || check.planned {
+		return
+	}
+	c.apply(poison.Report{Endings: []poison.Ending{{Server: in, Service: check.server.Service, Requests: requests}}}, origin{"this router", true})
+}
+
+// finishCheck ends a check and returns the requests that broke off.
+func (c *Controller) finishCheck(check *livenessCheck) []poison.Fingerprint {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.checks, check.server.Incarnation())
+	c.counts.Looks++
+	requests := make([]poison.Fingerprint, 0, len(check.requests))
+	for f := range check.requests {
+		requests = append(requests, f)
+	}
+	return requests
+}
--- a/controller/verdicts/over.go
+++ b/controller/verdicts/over.go
@@ -7,7 +7,7 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Over is a Fleet over the protocol between routers.
+// Over implements Fleet with calls to the other routers.
 type Over struct {
 	spread.Audience
 	Client *peer.Client
--- /dev/null
+++ b/controller/verdicts/persist.go
@@ -0,0 +1,200 @@
+package verdicts
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/gaplink/gaplink/clock"
+	"github.com/gaplink/gaplink/poison"
+	"github.com/gaplink/gaplink/store"
+	"github.com/gaplink/gaplink/wait"
+)
+
+const (
+	// Kind is the kind of the store objects that hold verdicts.
+	Kind = "verdicts"
+	// retryInitial is the delay before a failed store call is retried; it doubles up to
+	// retryMax. Other routers already have the verdict in the meantime.
+	retryInitial = 500 * time.Millisecond
+	retryMax     = 8 * time.Second
+	// verdictRetention is how long a verdict stays in the store after its block has expired:
+	// while it is there, a fleet that restarts needs only one crash for the next verdict.
+	verdictRetention = 24 * time.Hour
+)
+
+// pendingWrite is the state that the store should reach for a request.
+type pendingWrite struct {
+	verdict poison.Verdict
+	until   time.Time
+	// lifted is set if the verdict is to be deleted from the store.
+	lifted bool
+}
+
+// storedVerdict is the storedVerdict form of a verdict. Its times are wall clock times: errors of a
+// few seconds do not matter to blocks of a minute and more.
+type storedVerdict struct {
+	Number  int      `json:"number"`
+	Service string   `json:"service"`
+	Servers []string `json:"servers"`
+	// UntilMs is when the block expires, in Unix milliseconds.
+	UntilMs int64 `json:"untilMs"`
+}
+
+func storeKey(request poison.Fingerprint) string { return Kind + "/" + request.String() }
+
+// enqueueWrite schedules a store write for a request, replacing an earlier one that is still
+// pending. The caller holds c.mu.
+func (c *Controller) enqueueWrite(request poison.Fingerprint, k pendingWrite) {
+	c.pendingWrites[request] = k
+	select {
+	case c.writeSignal <- struct{}{}:
+	default: // a wake-up is already pending
+	}
+}
+
+// writeVerdicts executes the pending store writes one at a time until the context ends.
+func (c *Controller) writeVerdicts(ctx context.Context) {
+	for c.Store != nil {
+		request, k, ok := c.nextWrite()
+		if !ok {
+			select {
+			case <-c.writeSignal:
+				continue
+			case <-ctx.Done():
+				return
+			}
+		}
+		c.retryStoreCall(ctx, "verdict not written to the store; retrying", func() error { return c.write(ctx, request, k) })
+		if ctx.Err() != nil {
+			return
+		}
+	}
+}
+
+// retryStoreCall repeats a store call with exponential backoff until it succeeds or the
+// context ends, and logs message at each failure.
+func (c *Controller) retryStoreCall(ctx context.Context, message string, call func() error) {
+	for pause := retryInitial; ctx.Err() == nil; pause = min(2*pause, retryMax) {
+		err := call()
+		if err == nil {
+			return
+		}
+		c.Log.Info(message, zap.Error(err))
+		_ = wait.For(ctx, pause)
+	}
+}
+
+func (c *Controller) nextWrite() (poison.Fingerprint, pendingWrite, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for request, k := range c.pendingWrites {
+		delete(c.pendingWrites, request)
+		return request, k, true
+	}
+	return poison.Fingerprint{}, pendingWrite{}, false
+}
+
+// write applies a pending write to the store. A verdict there with the same or a higher number
+// is left unchanged.
+func (c *Controller) write(ctx context.Context, request poison.Fingerprint, k pendingWrite) error {
+	if k.lifted {
+		return c.remove(ctx, request)
+	}
+	v := storedVerdict{Number: k.verdict.Number, Service: k.verdict.Service, Servers: k.verdict.Servers}
+	v.UntilMs = time.Now().Add(clock.Until(k.until)).UnixMilli()
+	value, err := json.Marshal(v)
+	if err != nil {
+		return err
+	}
+	_, err = c.Store.Create(ctx, storeKey(request), value)
+	if !errors.Is(err, store.ErrConflict) {
+		return err
+	}
+	current, err := c.Store.Get(ctx, storeKey(request))
+	if err != nil {
+		return err
+	}
+	var currentVerdict storedVerdict
+	if json.Unmarshal(current.Value, &currentVerdict) == nil && currentVerdict.Number >= v.Number {
+		return nil
+	}
+	_, err = c.Store.Update(ctx, storeKey(request), current.Version, value)
+	return err
+}
+
+// remove deletes a verdict from the store, if there is one.
+func (c *Controller) remove(ctx context.Context, request poison.Fingerprint) error {
+	current, err := c.Store.Get(ctx, storeKey(request))
+	if err == nil {
+		err = c.Store.Delete(ctx, storeKey(request), current.Version)
+	}
+	if errors.Is(err, store.ErrNotFound) {
+		return nil
+	}
+	return err
+}
+
+// loadFromStore applies the verdicts in the store, which survive a crash of all routers.
+func (c *Controller) loadFromStore(ctx context.Context) {
+	if c.Store == nil {
+		return
+	}
+	c.retryStoreCall(ctx, "verdicts not read from the store; retrying", func() error {
+		list, err := c.listStored(ctx)
+		if err != nil {
+			return err
+		}
+		c.applyStored(ctx, list)
+		return nil
+	})
+}
+
+func (c *Controller) listStored(ctx context.Context) ([]store.Object, error) {
+	if c.Stale != nil && c.Stale() {
+		list, _, err := store.ListStale(ctx, c.Store, Kind)
+		return list, err
+	}
+	list, _, err := c.Store.List(ctx, Kind)
+	return list, err
+}
+
+// applyStored applies verdicts read from the store and deletes those past verdictRetention.
+func (c *Controller) applyStored(ctx context.Context, list []store.Object) {
+	var r poison.Report
+	now := clock.Now()
+	for _, o := range list {
+		v, err := decodeVerdict(now, o)
+		switch {
+		case err != nil:
+			c.Log.Warn("malformed verdict in the store ignored", zap.String("key", o.Key), zap.Error(err))
+		case v.HeldFor < -verdictRetention:
+			if err := c.Store.Delete(ctx, o.Key, o.Version); err != nil {
+				c.Log.Info("expired verdict not deleted from the store", zap.String("key", o.Key), zap.Error(err)) // retried at the next start
+			}
+		default:
+			r.Verdicts = append(r.Verdicts, v)
+		}
+	}
+	if !r.IsEmpty() {
+		c.apply(r, origin{name: "store"})
+	}
+}
+
+func decodeVerdict(now time.Time, o store.Object) (poison.Verdict, error) {
+	_, name, _ := strings.Cut(o.Key, "/")
+	request, err := poison.Parse(name)
+	if err != nil {
+		return poison.Verdict{}, err
+	}
+	var s storedVerdict
+	if err := json.Unmarshal(o.Value, &s); err != nil {
+		return poison.Verdict{}, err
+	}
+	held := time.Duration(s.UntilMs-now.UnixMilli()) * time.Millisecond
+	return poison.Verdict{Request: request, Number: s.Number, Service: s.Service, Servers: s.Servers, HeldFor: held}, nil
+}
--- a/controller/verdicts/share.go
+++ b/controller/verdicts/propagate.go
@@ -9,10 +9,10 @@
 	"github.com/gaplink/gaplink/poison"
 )
 
-// queuedEnds bounds the ends that wait for a router: 64 KB with 64 requests at each.
-const queuedEnds = 64
+// maxQueuedCrashes bounds the crashes queued for a router: 64 KB with 64 requests each.
+const maxQueuedCrashes = 64
 
-// newSpreader returns what propagates this controller's reports.
+// newSpreader returns the spreader that propagates this controller's reports.
 func (c *Controller) newSpreader() *spread.Spreader[poison.Report] {
 	o := spread.Options[poison.Report]{
 		Receive: c.Receive,
@@ -21,29 +21,29 @@
 			defer c.mu.Unlock()
 			return c.table.Snapshot(clock.Now())
 		},
-		Trim: trimEnds,
+		Trim: trimCrashes,
 		What: "poison requests",
 		Log:  c.Log,
 	}
 	if c.Fleet != nil {
-		o.Fleet = fleet{c.Fleet}
+		o.Fleet = spreadFleet{c.Fleet}
 	}
 	return spread.New(o)
 }
 
-// trimEnds bounds the ends in a report.
-func trimEnds(r poison.Report) poison.Report {
-	if over := len(r.Endings) - queuedEnds; over > 0 {
-		r.Endings = r.Endings[over:]
+// trimCrashes drops the oldest crashes of a report beyond maxQueuedCrashes.
+func trimCrashes(r poison.Report) poison.Report {
+	if excess := len(r.Endings) - maxQueuedCrashes; excess > 0 {
+		r.Endings = r.Endings[excess:]
 	}
 	return r
 }
 
-// fleet is a Fleet for a spreader.
-type fleet struct{ Fleet }
+// spreadFleet adapts a Fleet to spread.Fleet.
+type spreadFleet struct{ Fleet }
 
 // Report implements spread.Fleet.
-func (f fleet) Report(ctx context.Context, id string, r poison.Report, all bool) (poison.Report, error) {
+func (f spreadFleet) Report(ctx context.Context, id string, r poison.Report, all bool) (poison.Report, error) {
 	answer, err := f.Fleet.Report(ctx, id, &peer.VerdictsRequest{Report: r, All: all})
 	if err != nil {
 		return poison.Report{}, err
@@ -51,12 +51,12 @@
 	return answer.Report, nil
 }
 
-// Since returns what this router has learnt after number seq of its log, and the
-// number of the last entry. Without that part of the log it is all that it knows.
+// Since returns what this router has learnt after number seq of its log, and the number of the
+// last entry. If the log no longer reaches back to seq, it returns a snapshot instead.
 func (c *Controller) Since(seq int64) (poison.Report, int64) { return c.spread.Since(seq) }
 
-// OnReport answers another router: it takes its report, and returns all that is known here
-// if it asks for that.
+// OnReport handles a report of another router, and returns a snapshot if the request asks for
+// all.
 func (c *Controller) OnReport(_ context.Context, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
 	c.Receive(req.Report)
 	if !req.All {
@@ -65,9 +65,9 @@
 	return &peer.VerdictsAnswer{Report: c.spread.Snapshot()}, nil
 }
 
-// Receive takes the report of another router.
+// Receive applies a report of another router.
 func (c *Controller) Receive(r poison.Report) {
 	if !r.IsEmpty() {
-		c.take(r, origin{name: "another router"})
+		c.apply(r, origin{name: "another router"})
 	}
 }
--- a/controller/verdicts/request.go
+++ b/controller/verdicts/request.go
@@ -9,32 +9,33 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// longestAfter bounds the time after which a caller may ask again for what is held back:
-// until an operator has lifted it nothing changes sooner.
-const longestAfter = time.Hour
+// maxRetryAfter bounds the retry delay given to the caller of a blocked request: it does not
+// change sooner unless an operator lifts the verdict.
+const maxRetryAfter = time.Hour
 
-// Request is a request on its way, as far as it matters whether servers end under it. It
-// is for one goroutine.
+// Request tracks one request in flight for crash detection. It is not safe for concurrent use.
 type Request struct {
 	verdicts *Controller
 	identity func() poison.Identity
-	// fingerprint is computed when it is first asked for; most requests never need it.
+	// fingerprint is computed on first use; most requests never need it.
 	fingerprint *poison.Fingerprint
-	// looked is closed when it is known whether the server of the last attempt that broke
-	// off has ended; nil: none has broken off. broken is how many have.
-	looked <-chan struct{}
-	broken int
+	// checked is closed when the result of the liveness check for the last broken attempt is
+	// known; nil: no attempt has broken off. brokenAttempts counts the attempts that broke
+	// off.
+	checked        <-chan struct{}
+	brokenAttempts int
 }
 
-// Request returns a request whose identity is asked for if it matters.
+// Request returns the tracking state of a request. It calls identity only if the fingerprint
+// is needed.
 func (c *Controller) Request(identity func() poison.Identity) *Request {
 	return &Request{verdicts: c, identity: identity}
 }
 
-// Fingerprint returns the request's fingerprint if it was needed, or nil.
+// Fingerprint returns the request's fingerprint, or nil if it has not been computed.
 func (r *Request) Fingerprint() *poison.Fingerprint { return r.fingerprint }
 
-func (r *Request) id() poison.Fingerprint {
+func (r *Request) computeFingerprint() poison.Fingerprint {
 	if r.fingerprint == nil {
 		f := r.identity().Fingerprint()
 		r.fingerprint = &f
@@ -42,58 +43,59 @@
 	return *r.fingerprint
 }
 
-// Refusal returns the refusal of a request that is held back, or nil. Without it each
-// arrival of the request, a retry or its caller's next try, ended another server and the
-// requests of others there: with six servers and one such request every 0.3 s, more than
-// four in five of all others (TestRequestThatEndsServersIsHeldBack).
+// Refusal returns the error for a request that is blocked, or nil. Without blocking, each
+// arrival of such a request, as a router's retry or as a new attempt of its caller, crashed
+// another server and failed the other requests there: with six servers and one such request
+// every 0.3 s, more than four in five of all others failed
+// (TestRequestThatEndsServersIsHeldBack).
 func (r *Request) Refusal() *result.Error {
 	if !r.verdicts.Watching() {
 		return nil
 	}
-	v, refused := r.verdicts.Admit(r.id())
+	v, refused := r.verdicts.Admit(r.computeFingerprint())
 	if !refused {
 		return nil
 	}
-	return result.New(result.HeldBack, "%d servers ended under the request", len(v.Servers)).After(min(v.HeldFor, longestAfter))
+	return result.New(result.HeldBack, "%d servers ended under the request", len(v.Servers)).After(min(v.HeldFor, maxRetryAfter))
 }
 
-// Broke tells that the connection to a server ended before the end of its answer.
+// Broke records that the connection to a server closed before the response was complete.
 func (r *Request) Broke(s placement.Server) {
-	r.looked = r.verdicts.Broke(s, r.id())
-	r.broken++
+	r.checked = r.verdicts.Broke(s, r.computeFingerprint())
+	r.brokenAttempts++
 }
 
-// EndsServers tells, of a request that broke off, whether more than one server has ended
-// under it, so that no router must send it to another one by itself. Whether the last
-// server has ended is waited for only if another one had before, or may have: most
-// requests that break off were only there when their server ended, or it has not ended,
-// and go on at once.
+// EndsServers reports whether more than one server has crashed while a request with a broken
+// attempt ran there, in which case no router may retry it on its own. It waits for the
+// liveness check of the last server only if another server has crashed before, or may have:
+// most requests that break off merely ran on a server that crashed, or the server has not
+// crashed, and these are retried at once.
 func (r *Request) EndsServers(ctx context.Context) bool {
-	if r.looked == nil || r.broken < 2 && r.verdicts.Ends(r.id()) == 0 {
+	if r.checked == nil || r.brokenAttempts < 2 && r.verdicts.Ends(r.computeFingerprint()) == 0 {
 		return false
 	}
 	select {
-	case <-r.looked:
+	case <-r.checked:
 	case <-ctx.Done():
 	}
-	return r.verdicts.Ends(r.id()) > 1
+	return r.verdicts.Ends(r.computeFingerprint()) > 1
 }
 
-// Ran notes that a server of the service answered the request whole and lives, in case
-// others ended under it.
+// Ran records that a server of the service completed the request and is alive, which counts as
+// evidence if other servers crashed while it ran there.
 func (r *Request) Ran(service string) {
 	if r.verdicts.Watching() {
-		r.verdicts.Ran(service, r.id())
+		r.verdicts.Ran(service, r.computeFingerprint())
 	}
 }
 
-// Affinity is the affinity of a request under which a server has ended, 0 for any other.
-// All routers send it to the same server then, apart from where its prompt would lead
-// it: copies that run at once end one server and not several, and requests that were at
-// one end meet at no second one.
+// Affinity returns the affinity of a request that ran on a server when it crashed, 0 for any
+// other. All routers send such a request to the same server, independent of its prompt:
+// concurrent copies then crash one server instead of several, and requests that shared one
+// crash do not share a second one.
 func (r *Request) Affinity() uint64 {
-	if !r.verdicts.Watching() || r.verdicts.Ends(r.id()) == 0 {
+	if !r.verdicts.Watching() || r.verdicts.Ends(r.computeFingerprint()) == 0 {
 		return 0
 	}
-	return r.id().Affinity()
+	return r.computeFingerprint().Affinity()
 }
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -1,6 +1,6 @@
-// Package verdicts keeps the fleet's knowledge of requests that end the servers which
-// run them: it finds out under which requests servers end, tells the other routers,
-// and keeps verdicts in the store, so that they outlast the death of all routers.
+// Package verdicts detects poison requests, which crash the servers that run them: it finds
+// out which requests ran on servers that crashed, propagates this to the other routers, and
+// stores the verdicts, so that they survive a crash of all routers.
 //
 // The decisions are in package poison.
 package verdicts
@@ -23,102 +23,104 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// expireEvery is how often old ends are looked for.
-const expireEvery = time.Minute
+// expireInterval is the time between two scans for expired crashes.
+const expireInterval = time.Minute
 
-// Checker tells whether a server's process still lives.
+// Checker checks whether a server's process is alive.
 type Checker interface {
 	Check(ctx context.Context, address string, owner placement.Incarnation) upstream.Liveness
 }
 
 // Servers are the backend servers that this router knows.
 type Servers interface {
-	// TakesWork tells whether a process runs and is not leaving.
+	// TakesWork reports whether a process is running and not draining.
 	TakesWork(in placement.Incarnation) bool
 }
 
 // Fleet are the other routers.
 type Fleet interface {
-	// Report tells a router of this one's news, and asks for all it knows if all is set.
+	// Report sends a report to a router, and asks for all that it knows if req.All is set.
 	Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error)
-	// Listeners are the routers that are to be told of news.
+	// Listeners returns the routers that receive each report.
 	Listeners() []string
-	// Peers are the routers that may be asked, the best first.
+	// Peers returns the routers that may be asked, in order of preference.
 	Peers() []string
 }
 
-// Options are what a controller works with.
+// Options configures a Controller.
 type Options struct {
 	Checker Checker
 	Servers Servers
-	// Fleet and Store may be nil: nobody is told then, and nothing is kept.
+	// Fleet and Store may be nil: reports are then not propagated, and verdicts not stored.
 	Fleet Fleet
 	Store store.Store
-	// Stale tells that a store's list that may be seconds old will do, as it must in a
-	// large fleet, whose routers may all start together.
+	// Stale reports whether a list that may be seconds old may be read from the store, as a
+	// large fleet must, whose routers may all start together.
 	Stale func() bool
-	// Updated tells that relays send this router all reports, so that it asks neither another
-	// router nor the store at its start; nil: none do.
+	// Updated reports whether relays send this router all reports, so that it asks neither
+	// another router nor the store at its start; nil: none do.
 	Updated func() bool
-	// PausesNoticed tells that the owner calls CatchUp after each pause of the process.
+	// PausesNoticed is set if the owner calls CatchUp after each pause of the process.
 	PausesNoticed bool
 	Log           *zap.Logger
 }
 
-// Controller is safe for concurrent use.
+// Controller detects poison requests and keeps the verdicts on them. It is safe for concurrent
+// use.
 type Controller struct {
 	Options
 
-	// watching mirrors whether the table knows anything, so that requests pay nothing
-	// while no server has ended.
+	// watching mirrors whether the table is non-empty, so that requests cost no lock while no
+	// server has crashed.
 	watching atomic.Bool
 
 	// spread propagates what this router observed.
 	spread *spread.Spreader[poison.Report]
 
-	mu    sync.Mutex
-	table *poison.Table
-	looks map[placement.Incarnation]*look
-	// toKeep are the verdicts that the store has not followed yet.
-	toKeep map[poison.Fingerprint]keeping
-	kept   chan struct{} // there is something to keep
-	counts Counts
+	mu     sync.Mutex
+	table  *poison.Table
+	checks map[placement.Incarnation]*livenessCheck
+	// pendingWrites are the store writes not yet executed.
+	pendingWrites map[poison.Fingerprint]pendingWrite
+	writeSignal   chan struct{} // signals that pendingWrites is not empty
+	counts        Counts
 }
 
-// Counts are what has happened since the start.
+// Counts are event counts since the start.
 type Counts struct {
-	// Looks is how often this router looked what had become of a server's process,
-	// Verdicts those that it reached itself, and Lifted the verdicts that it saw lifted
-	// by good runs or by operators.
+	// Looks counts the liveness checks of server processes, Verdicts the verdicts that this
+	// router reached itself, and Lifted the verdicts lifted by successful runs or by
+	// operators, as seen here.
 	Looks, Verdicts, Lifted int64
 }
 
-// New returns a controller that knows nothing.
+// New returns a controller without verdicts.
 func New(o Options) *Controller {
 	c := &Controller{
-		Options: o,
-		table:   poison.NewTable(),
-		looks:   map[placement.Incarnation]*look{},
-		kept:    make(chan struct{}, 1),
-		toKeep:  map[poison.Fingerprint]keeping{},
+		Options:       o,
+		table:         poison.NewTable(),
+		checks:        map[placement.Incarnation]*livenessCheck{},
+		writeSignal:   make(chan struct{}, 1),
+		pendingWrites: map[poison.Fingerprint]pendingWrite{},
 	}
 	c.spread = c.newSpreader()
 	return c
 }
 
-// Run tells the other routers, keeps verdicts and forgets old ends until the context
-// ends. It begins by asking another router, and the store, what is known, unless relays send that.
+// Run propagates reports, writes verdicts to the store and drops old crashes until the context
+// ends. It first reads the current state from another router and from the store, unless relays
+// send it.
 func (c *Controller) Run(ctx context.Context) {
 	go c.spread.Run(ctx)
 	if !c.PausesNoticed {
 		go c.spread.NoticePauses(ctx)
 	}
-	go c.keepVerdicts(ctx)
+	go c.writeVerdicts(ctx)
 	c.CatchUp(ctx)
-	if !c.updated() {
-		go c.load(ctx)
+	if !c.relaysSendReports() {
+		go c.loadFromStore(ctx)
 	}
-	ticker := time.NewTicker(expireEvery)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -133,21 +135,21 @@
 	}
 }
 
-// CatchUp asks other routers what is known, unless relays send it anyway.
+// CatchUp asks other routers for what they know, unless relays send it anyway.
 func (c *Controller) CatchUp(ctx context.Context) {
-	if !c.updated() {
+	if !c.relaysSendReports() {
 		c.spread.CatchUp(ctx)
 	}
 }
 
-func (c *Controller) updated() bool { return c.Updated != nil && c.Updated() }
+func (c *Controller) relaysSendReports() bool { return c.Updated != nil && c.Updated() }
 
-// Watching tells whether anything is known of any request. While nothing is, no request
-// needs its fingerprint.
+// Watching reports whether any request is tracked. While none is, no request needs its
+// fingerprint.
 func (c *Controller) Watching() bool { return c.watching.Load() }
 
-// Admit returns the verdict by which a request that has arrived is to be refused, if
-// there is one. After a hold it lets one run through, and tells the other routers.
+// Admit returns the verdict that blocks a newly arrived request, if there is one. When a block
+// has expired, it admits one trial run and announces it to the other routers.
 func (c *Controller) Admit(request poison.Fingerprint) (v poison.Verdict, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,26 +161,26 @@
 	return v, refused
 }
 
-// Ends returns under how many processes' ends a request has run.
+// Ends returns the number of crashes during which a request was running.
 func (c *Controller) Ends(request poison.Fingerprint) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Ends(request)
 }
 
-// Ran tells that a server answered a request whole and lives.
+// Ran records that a server completed a request and is alive.
 func (c *Controller) Ran(service string, request poison.Fingerprint) {
-	c.take(poison.Report{Runs: []poison.Run{{Request: request, Service: service}}}, origin{"a good run", true})
+	c.apply(poison.Report{Runs: []poison.Run{{Request: request, Service: service}}}, origin{"a good run", true})
 }
 
-// List returns the verdicts that hold.
+// List returns the verdicts in force.
 func (c *Controller) List() []poison.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Verdicts(clock.Now())
 }
 
-// Lift voids the verdict on a request; operator is who asks for it.
+// Lift voids the verdict on a request on behalf of an operator.
 func (c *Controller) Lift(request poison.Fingerprint, operator string) error {
 	c.mu.Lock()
 	v, held := c.table.Held(clock.Now(), request)
@@ -186,55 +188,55 @@
 	if !held {
 		return result.New(result.UnknownObject, "no verdict holds on %s", request)
 	}
-	c.take(poison.Report{Liftings: []poison.Lifting{{Request: request, Number: v.Number}}}, origin{"operator " + operator, true})
+	c.apply(poison.Report{Liftings: []poison.Lifting{{Request: request, Number: v.Number}}}, origin{"operator " + operator, true})
 	return nil
 }
 
-// Figures returns the counts, and how many requests are suspected and held back.
+// Figures returns the counts, and the numbers of suspected and of blocked requests.
 func (c *Controller) Figures() (counts Counts, suspects, held int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts, c.table.Suspects(), len(c.table.Verdicts(clock.Now()))
 }
 
-// origin says where a report comes from.
+// origin is where a report comes from.
 type origin struct {
 	name string
-	// own tells that this router saw it happen: it then tells the others and keeps the
-	// store in step, and no other one does.
-	own bool
+	// local is set if this router made the observation: it alone then sends it to the others
+	// and updates the store.
+	local bool
 }
 
-// take takes a report, and tells the others what this router saw itself.
-func (c *Controller) take(r poison.Report, from origin) {
+// apply applies a report to the table, and propagates what is new if this router observed it.
+func (c *Controller) apply(r poison.Report, from origin) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
-	before := c.heldOf(now, r)
-	news, reached := c.table.Take(now, r)
+	before := c.blockedIn(now, r)
+	added, reached := c.table.Take(now, r)
 	c.watching.Store(!c.table.IsEmpty())
 	c.counts.Verdicts += int64(len(reached))
-	news.Verdicts = append(news.Verdicts, reached...)
-	for _, v := range news.Verdicts {
-		c.noteHeld(now, v, from)
+	added.Verdicts = append(added.Verdicts, reached...)
+	for _, v := range added.Verdicts {
+		c.recordBlocked(now, v, from)
 	}
 	for _, f := range before {
 		if _, still := c.table.Held(now, f); !still {
-			c.noteLifted(f, from)
+			c.recordLifted(f, from)
 		}
 	}
-	if news.IsEmpty() {
+	if added.IsEmpty() {
 		return
 	}
-	if from.own {
-		c.spread.Send(news)
+	if from.local {
+		c.spread.Send(added)
 	} else {
-		c.spread.Note(news)
+		c.spread.Note(added)
 	}
 }
 
-// heldOf returns the requests of a report that are held back and that it may lift.
-func (c *Controller) heldOf(now time.Time, r poison.Report) (held []poison.Fingerprint) {
+// blockedIn returns the blocked requests that a report may unblock.
+func (c *Controller) blockedIn(now time.Time, r poison.Report) (held []poison.Fingerprint) {
 	add := func(f poison.Fingerprint) {
 		if _, ok := c.table.Held(now, f); ok {
 			held = append(held, f)
@@ -249,20 +251,20 @@
 	return held
 }
 
-// noteHeld logs a verdict with what it rests on, and has the store follow.
-func (c *Controller) noteHeld(now time.Time, v poison.Verdict, from origin) {
+// recordBlocked logs a verdict with its evidence and schedules the store write.
+func (c *Controller) recordBlocked(now time.Time, v poison.Verdict, from origin) {
 	c.Log.Warn("request held back", zap.Stringer("fingerprint", v.Request), zap.Int("number", v.Number), zap.String("service", v.Service),
 		zap.Strings("servers", v.Servers), zap.Duration("held_for_ms", v.HeldFor), zap.String("source", from.name))
-	if from.own {
-		c.keepLater(v.Request, keeping{verdict: v, until: now.Add(v.HeldFor)})
+	if from.local {
+		c.enqueueWrite(v.Request, pendingWrite{verdict: v, until: now.Add(v.HeldFor)})
 	}
 }
 
-// noteLifted logs that a verdict is void, and has the store follow.
-func (c *Controller) noteLifted(request poison.Fingerprint, from origin) {
+// recordLifted logs that a verdict is void and schedules its deletion from the store.
+func (c *Controller) recordLifted(request poison.Fingerprint, from origin) {
 	c.counts.Lifted++
 	c.Log.Warn("request no longer held back", zap.Stringer("fingerprint", request), zap.String("source", from.name))
-	if from.own {
-		c.keepLater(request, keeping{lifted: true})
+	if from.local {
+		c.enqueueWrite(request, pendingWrite{lifted: true})
 	}
 }
--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -22,7 +22,7 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// checker finds the same of every process and counts how often it is asked.
+// checker reports the same liveness for every process and counts the checks.
 type checker struct {
 	found upstream.Liveness
 	asked atomic.Int64
@@ -33,7 +33,7 @@
 	return c.found
 }
 
-// servers know all processes but those that leave.
+// servers reports every process as running, except those that are draining.
 type servers struct{ leaving map[string]bool }
 
 func (s servers) TakesWork(in placement.Incarnation) bool { return !s.leaving[in.ID] }
@@ -42,60 +42,62 @@
 	return poison.Identity{Account: "acme", Body: []byte(body)}.Fingerprint()
 }
 
-// TestOneLookForAllThatBrokeOff: the process is looked for once, and the line of the
-// log names what was found and all requests that broke off there.
-func TestOneLookForAllThatBrokeOff(t *testing.T) {
+// Guards against repeated liveness checks of one process: all requests that broke off there
+// share one check and one log line.
+func TestOneLivenessCheckPerProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, seen := observer.New(zap.InfoLevel)
-		look := &checker{found: upstream.Gone}
-		c := verdicts.New(verdicts.Options{Checker: look, Servers: servers{}, Log: zap.New(core)})
+		core, logged := observer.New(zap.InfoLevel)
+		check := &checker{found: upstream.Gone}
+		c := verdicts.New(verdicts.Options{Checker: check, Servers: servers{}, Log: zap.New(core)})
 		server := placement.Server{ID: "s1", Started: 7, Service: "llm"}
 		for _, body := range []string{"a", "b", "a"} {
 			c.Broke(server, request(body))
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		lines := seen.FilterMessage("answers broke off").All()
-		if len(lines) != 1 || look.asked.Load() != 1 {
-			t.Fatalf("%d lines, %d looks", len(lines), look.asked.Load())
+		lines := logged.FilterMessage("answers broke off").All()
+		if len(lines) != 1 || check.asked.Load() != 1 {
+			t.Fatalf("%d log lines, %d liveness checks", len(lines), check.asked.Load())
 		}
-		said := lines[0].ContextMap()
-		if said["server"] != "s1" || said["process"] != "gone" || len(said["fingerprints"].([]any)) != 2 {
-			t.Errorf("the line says %v", said)
+		fields := lines[0].ContextMap()
+		if fields["server"] != "s1" || fields["process"] != "gone" || len(fields["fingerprints"].([]any)) != 2 {
+			t.Errorf("unexpected log fields: %v", fields)
 		}
 	})
 }
 
-// bus is a fleet of controllers that call each other directly.
-type bus struct {
-	mu    sync.Mutex
-	all   map[string]*verdicts.Controller
-	away  map[string]bool
-	calls int
+// network connects controllers that call each other directly.
+type network struct {
+	mu          sync.Mutex
+	all         map[string]*verdicts.Controller
+	unreachable map[string]bool
+	calls       int
 }
 
-func newBus() *bus { return &bus{all: map[string]*verdicts.Controller{}, away: map[string]bool{}} }
+func newNetwork() *network {
+	return &network{all: map[string]*verdicts.Controller{}, unreachable: map[string]bool{}}
+}
 
-// seat is one router's place on the bus.
-type seat struct {
-	*bus
+// node is one router on the network.
+type node struct {
+	*network
 	id string
 }
 
-var errAway = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (s seat) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
+func (s node) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
 	s.mu.Lock()
 	s.calls++
-	other, away := s.all[id], s.away[id] || s.away[s.id]
+	other, away := s.all[id], s.unreachable[id] || s.unreachable[s.id]
 	s.mu.Unlock()
 	if away || other == nil {
-		return nil, errAway
+		return nil, errNoAnswer
 	}
 	return other.OnReport(ctx, req)
 }
 
-func (s seat) Listeners() []string {
+func (s node) Listeners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
@@ -107,26 +109,26 @@
 	return ids
 }
 
-func (s seat) Peers() []string { return s.Listeners() }
+func (s node) Peers() []string { return s.Listeners() }
 
 // called returns the number of calls so far.
-func (b *bus) called() int {
+func (b *network) called() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.calls
 }
 
-func (b *bus) setAway(id string, away bool) {
+func (b *network) setUnreachable(id string, away bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.away[id] = away
+	b.unreachable[id] = away
 }
 
-// join starts a router; all servers that it looks at are gone.
-func (b *bus) join(ctx context.Context, id string, kept store.Store) *verdicts.Controller {
+// join starts a router whose liveness checks find every server gone.
+func (b *network) join(ctx context.Context, id string, kept store.Store) *verdicts.Controller {
 	c := verdicts.New(verdicts.Options{
 		Checker: &checker{found: upstream.Gone}, Servers: servers{map[string]bool{"leaving": true}},
-		Fleet: seat{b, id}, Store: kept, Log: zap.NewNop(),
+		Fleet: node{b, id}, Store: kept, Log: zap.NewNop(),
 	})
 	b.mu.Lock()
 	b.all[id] = c
@@ -136,8 +138,9 @@
 	return c
 }
 
-// endUnder lets servers end under a request, one a second, each at the next router.
-func endUnder(body string, first, n int, routers ...*verdicts.Controller) {
+// crashWhileRunning has n servers crash while a request runs, one a second, each observed by
+// the next router.
+func crashWhileRunning(body string, first, n int, routers ...*verdicts.Controller) {
 	for i := first; i < first+n; i++ {
 		routers[i%len(routers)].Broke(placement.Server{ID: fmt.Sprint(body, i), Service: "llm"}, request(body))
 		time.Sleep(time.Second)
@@ -146,54 +149,54 @@
 
 func held(c *verdicts.Controller) int { return len(c.List()) }
 
-// TestAllRoutersKnowSoon: each end is seen by another router, and all hold the request
-// back within 0.1 s of the third.
-func TestAllRoutersKnowSoon(t *testing.T) {
+// Guards against verdicts that spread slowly: each crash is observed by another router, and
+// all routers block the request within 0.1 s of the third.
+func TestVerdictReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBus()
+		b := newNetwork()
 		var routers []*verdicts.Controller
 		for i := range 6 {
 			routers = append(routers, b.join(t.Context(), fmt.Sprint("r", i), nil))
 		}
-		endUnder("k", 0, 2, routers...)
+		crashWhileRunning("k", 0, 2, routers...)
 		routers[2].Broke(placement.Server{ID: "third", Service: "llm"}, request("k"))
 		time.Sleep(100 * time.Millisecond)
 		for i, r := range routers {
 			if _, refused := r.Admit(request("k")); !refused {
-				t.Errorf("router %d does not hold the request back", i)
+				t.Errorf("router %d does not block the request", i)
 			}
 		}
 		if b.calls > 5*3+6 {
-			t.Errorf("%d calls for three ends among six routers", b.calls)
+			t.Errorf("%d calls for three crashes among six routers", b.calls)
 		}
 	})
 }
 
-// TestRouterThatWasAwayIsTold: it did not take the news as they came.
-func TestRouterThatWasAwayIsTold(t *testing.T) {
+// Guards against a router that misses the reports sent while it was unreachable.
+func TestReconnectedRouterReceivesReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBus()
+		b := newNetwork()
 		one, cut := b.join(t.Context(), "r0", nil), b.join(t.Context(), "r1", nil)
-		b.setAway("r1", true)
-		endUnder("k", 0, 3, one)
+		b.setUnreachable("r1", true)
+		crashWhileRunning("k", 0, 3, one)
 		if held(one) != 1 || held(cut) != 0 {
 			t.Fatalf("%d and %d verdicts", held(one), held(cut))
 		}
-		b.setAway("r1", false)
+		b.setUnreachable("r1", false)
 		time.Sleep(time.Second)
 		if held(cut) != 1 {
-			t.Error("the router that was cut off knows nothing a second later")
+			t.Error("the router has no verdict one second after it is reachable again")
 		}
 	})
 }
 
-// TestLateNewsOfAnEndAreNoOtherEnd: two routers see an end of a server that does not tell
-// its start, and one of them reaches a third only half a minute later.
-func TestLateNewsOfAnEndAreNoOtherEnd(t *testing.T) {
+// Guards against counting one crash twice: two routers observe the crash of a server that does
+// not report its start time, and one of them reaches a third router only half a minute later.
+func TestLateReportIsNotCountedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBus()
+		b := newNetwork()
 		one, other, third := b.join(t.Context(), "r0", nil), b.join(t.Context(), "r1", nil), b.join(t.Context(), "r2", nil)
-		b.setAway("r0", true)
+		b.setUnreachable("r0", true)
 		for i := range 2 {
 			for _, r := range []*verdicts.Controller{one, other} {
 				r.Broke(placement.Server{ID: fmt.Sprint("s", i), Service: "llm"}, request("k"))
@@ -201,11 +204,11 @@
 			time.Sleep(3 * time.Second)
 		}
 		time.Sleep(30 * time.Second)
-		b.setAway("r0", false)
+		b.setUnreachable("r0", false)
 		time.Sleep(2 * time.Second)
 		for i, r := range []*verdicts.Controller{one, other, third} {
 			if n := r.Ends(request("k")); n != 2 {
-				t.Errorf("router %d counts %d ends", i, n)
+				t.Errorf("router %d counts %d crashes", i, n)
 			}
 		}
 		news, _ := one.Since(-1)
@@ -214,19 +217,19 @@
 			third.Receive(r)
 		}
 		if n := third.Ends(request("k")); n != 2 || held(third) != 0 {
-			t.Errorf("%d ends after old news, %d verdicts", n, held(third))
+			t.Errorf("%d crashes after old reports, %d verdicts", n, held(third))
 		}
 	})
 }
 
-// TestDeadRouterCostsLittle: however much there is to tell, one that does not answer is
+// Guards against unbounded calls to a dead router: however many reports are queued, it is
 // called twice a second, for a minute.
-func TestDeadRouterCostsLittle(t *testing.T) {
+func TestCallsToDeadRouterAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBus()
+		b := newNetwork()
 		one := b.join(t.Context(), "r0", nil)
 		b.join(t.Context(), "r1", nil)
-		b.setAway("r1", true)
+		b.setUnreachable("r1", true)
 		before := b.called()
 		for i := range 200 {
 			one.Broke(placement.Server{ID: fmt.Sprint("s", i), Service: "llm"}, request(fmt.Sprint(i)))
@@ -239,131 +242,134 @@
 		before = b.called()
 		time.Sleep(10 * time.Second)
 		if n := b.called() - before; n > 0 {
-			t.Errorf("%d calls in 10 s, a minute after the last news", n)
+			t.Errorf("%d calls in 10 s, a minute after the last report", n)
 		}
 	})
 }
 
-// TestRouterThatStartsAsks: it knows at once what the others do.
-func TestRouterThatStartsAsks(t *testing.T) {
+// Guards against a router that starts without the verdicts of the others.
+func TestStartingRouterCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBus()
+		b := newNetwork()
 		one := b.join(t.Context(), "r0", nil)
-		endUnder("k", 0, 3, one)
+		crashWhileRunning("k", 0, 3, one)
 		if late := b.join(t.Context(), "r1", nil); held(late) != 1 {
-			t.Error("the router that started knows nothing")
+			t.Error("the router has no verdict after its start")
 		}
 	})
 }
 
-// TestVerdictOutlastsAllRouters in the store, and a lifted one is gone from it.
-func TestVerdictOutlastsAllRouters(t *testing.T) {
+// Guards against verdicts that are lost when all routers restart, and against a lifted verdict
+// that stays in the store.
+func TestVerdictSurvivesRestartOfAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kept := memory.New()
-		endUnder("k", 0, 3, newBus().join(t.Context(), "r0", kept))
-		next := newBus().join(t.Context(), "r1", kept)
+		crashWhileRunning("k", 0, 3, newNetwork().join(t.Context(), "r0", kept))
+		next := newNetwork().join(t.Context(), "r1", kept)
 		if held(next) != 1 {
-			t.Fatal("a fleet that starts anew knows nothing")
+			t.Fatal("the restarted fleet has no verdict")
 		}
 		if err := next.Lift(request("k"), "ann"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if last := newBus().join(t.Context(), "r2", kept); held(last) != 0 {
-			t.Error("the store holds a verdict that was lifted")
+		if last := newNetwork().join(t.Context(), "r2", kept); held(last) != 0 {
+			t.Error("the store still has the lifted verdict")
 		}
 	})
 }
 
-// TestStoreThatIsAwayIsAskedAgain, and seldom.
-func TestStoreThatIsAwayIsAskedAgain(t *testing.T) {
+// Guards against a verdict that is not written after a store outage, and against frequent
+// retries.
+func TestStoreWriteIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kept := &fickle{Store: memory.New()}
-		kept.away.Store(true)
-		endUnder("k", 0, 3, newBus().join(t.Context(), "r0", kept))
+		kept := &unreliableStore{Store: memory.New()}
+		kept.unavailable.Store(true)
+		crashWhileRunning("k", 0, 3, newNetwork().join(t.Context(), "r0", kept))
 		time.Sleep(30 * time.Second)
 		if n := kept.calls.Load(); n > 16 {
 			t.Errorf("%d calls in half a minute", n)
 		}
-		kept.away.Store(false)
+		kept.unavailable.Store(false)
 		time.Sleep(10 * time.Second)
-		if next := newBus().join(t.Context(), "r1", kept); held(next) != 1 {
-			t.Error("the verdict was not kept")
+		if next := newNetwork().join(t.Context(), "r1", kept); held(next) != 1 {
+			t.Error("the verdict was not written to the store")
 		}
 	})
 }
 
-// fickle is a store that may be away.
-type fickle struct {
+// unreliableStore is a store with simulated outages.
+type unreliableStore struct {
 	store.Store
-	away  atomic.Bool
-	calls atomic.Int64
+	unavailable atomic.Bool
+	calls       atomic.Int64
 }
 
-func (f *fickle) Create(ctx context.Context, key string, value []byte) (store.Object, error) {
+func (f *unreliableStore) Create(ctx context.Context, key string, value []byte) (store.Object, error) {
 	f.calls.Add(1)
-	if f.away.Load() {
+	if f.unavailable.Load() {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return f.Store.Create(ctx, key, value)
 }
 
-func (f *fickle) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
+func (f *unreliableStore) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
 	f.calls.Add(1)
-	if f.away.Load() {
+	if f.unavailable.Load() {
 		return nil, 0, store.ErrUnavailable
 	}
 	return f.Store.List(ctx, prefix)
 }
 
-// TestPlannedEndsCountForNothing: those of servers that said they leave.
-func TestPlannedEndsCountForNothing(t *testing.T) {
+// Guards against counting the planned exits of draining servers as crashes.
+func TestPlannedExitsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newBus().join(t.Context(), "r0", nil)
+		c := newNetwork().join(t.Context(), "r0", nil)
 		for i := range int64(4) {
 			c.Broke(placement.Server{ID: "leaving", Started: i, Service: "llm"}, request("k"))
 			time.Sleep(time.Second)
 		}
 		if held(c) != 0 {
-			t.Error("a request is held back for the ends of servers that left")
+			t.Error("a request is blocked because of planned exits")
 		}
 	})
 }
 
-// TestLogOfNewsTellsWhatCame, and all that is known to whoever missed a part of it.
-func TestLogOfNewsTellsWhatCame(t *testing.T) {
+// Guards against a log that repeats or misses reports, and against routers that receive
+// reports only from a router that itself received them.
+func TestSinceReturnsNewReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, teller := newBus().join(t.Context(), "r0", nil), verdicts.New(verdicts.Options{Log: zap.NewNop()})
-		endUnder("k", 0, 2, one)
+		one, reader := newNetwork().join(t.Context(), "r0", nil), verdicts.New(verdicts.Options{Log: zap.NewNop()})
+		crashWhileRunning("k", 0, 2, one)
 		all, seq := one.Since(-1)
 		if len(all.Endings) != 2 {
 			t.Fatalf("%+v", all)
 		}
 		if again, last := one.Since(seq); !again.IsEmpty() || last != seq {
-			t.Errorf("told twice: %+v", again)
+			t.Errorf("report returned twice: %+v", again)
 		}
-		endUnder("k", 2, 1, one)
+		crashWhileRunning("k", 2, 1, one)
 		news, _ := one.Since(seq)
-		teller.Receive(all)
-		teller.Receive(news)
-		if held(teller) != 1 {
-			t.Errorf("a router that asks for news knows nothing after %+v", news)
+		reader.Receive(all)
+		reader.Receive(news)
+		if held(reader) != 1 {
+			t.Errorf("the router that reads the log has no verdict after %+v", news)
 		}
 		last := verdicts.New(verdicts.Options{Log: zap.NewNop()})
-		passedOn, _ := teller.Since(-1)
-		last.Receive(passedOn)
+		forwarded, _ := reader.Since(-1)
+		last.Receive(forwarded)
 		if held(last) != 1 {
-			t.Error("nor does one that asks that one")
+			t.Error("the router that reads from that router has no verdict")
 		}
 	})
 }
 
-// TestStrangeVerdictsInTheStoreEndNoRouter: each that starts reads them. One that can be
-// read holds beside them.
-func TestStrangeVerdictsInTheStoreEndNoRouter(t *testing.T) {
+// Guards against a router that crashes at its start on malformed verdicts in the store, or
+// ignores a valid one beside them.
+func TestMalformedStoredVerdictsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kept := memory.New()
-		endUnder("k", 0, 3, newBus().join(t.Context(), "r0", kept))
+		crashWhileRunning("k", 0, 3, newNetwork().join(t.Context(), "r0", kept))
 		for key, value := range map[string]string{
 			"verdicts/":                             `{}`,
 			"verdicts/zz":                           `{}`,
@@ -377,12 +383,12 @@
 				t.Fatal(err)
 			}
 		}
-		next := newBus().join(t.Context(), "r1", kept)
+		next := newNetwork().join(t.Context(), "r1", kept)
 		if held(next) != 1 {
-			t.Errorf("%d verdicts hold", held(next))
+			t.Errorf("%d verdicts in force", held(next))
 		}
 		if _, refused := next.Admit(request("m")); refused {
-			t.Error("an entry without a number or a time holds a request back")
+			t.Error("an entry without a number or an expiry blocks a request")
 		}
 	})
 }
