--- a/controller/verdicts/commands.go
+++ b/controller/verdicts/commands.go
@@ -54,7 +54,7 @@
 	list := []Listed{}
 	for _, v := range c.List() {
 		list = append(list, Listed{
-			Fingerprint: v.Request.String(), Number: v.Number, Service: v.Service, Servers: v.Servers, HeldForSeconds: v.HeldFor.Seconds(),
+			Fingerprint: v.Request.String(), Number: v.Number, Service: v.Service, Servers: v.Servers, HeldForSeconds: v.Remaining.Seconds(),
 		})
 	}
 	return list
--- a/controller/verdicts/liveness.go
+++ b/controller/verdicts/liveness.go
@@ -65,7 +65,7 @@
 	if found != upstream.Gone || check.planned {
 		return
 	}
-	c.apply(poison.Report{Endings: []poison.Ending{{Server: in, Service: check.server.Service, Requests: requests}}}, origin{"this router", true})
+	c.apply(poison.Report{Crashes: []poison.Crash{{Server: in, Service: check.server.Service, Requests: requests}}}, origin{"this router", true})
 }
 
 // finishCheck ends a check and returns the requests that broke off.
--- a/controller/verdicts/persist.go
+++ b/controller/verdicts/persist.go
@@ -172,7 +172,7 @@
 		switch {
 		case err != nil:
 			c.Log.Warn("malformed verdict in the store ignored", zap.String("key", o.Key), zap.Error(err))
-		case v.HeldFor < -verdictRetention:
+		case v.Remaining < -verdictRetention:
 			if err := c.Store.Delete(ctx, o.Key, o.Version); err != nil {
 				c.Log.Info("expired verdict not deleted from the store", zap.String("key", o.Key), zap.Error(err)) // retried at the next start
 			}
@@ -196,5 +196,5 @@
 		return poison.Verdict{}, err
 	}
 	held := time.Duration(s.UntilMs-now.UnixMilli()) * time.Millisecond
-	return poison.Verdict{Request: request, Number: s.Number, Service: s.Service, Servers: s.Servers, HeldFor: held}, nil
+	return poison.Verdict{Request: request, Number: s.Number, Service: s.Service, Servers: s.Servers, Remaining: held}, nil
 }
--- a/controller/verdicts/propagate.go
+++ b/controller/verdicts/propagate.go
@@ -33,8 +33,8 @@
 
 // trimCrashes drops the oldest crashes of a report beyond maxQueuedCrashes.
 func trimCrashes(r poison.Report) poison.Report {
-	if excess := len(r.Endings) - maxQueuedCrashes; excess > 0 {
-		r.Endings = r.Endings[excess:]
+	if excess := len(r.Crashes) - maxQueuedCrashes; excess > 0 {
+		r.Crashes = r.Crashes[excess:]
 	}
 	return r
 }
--- a/controller/verdicts/request.go
+++ b/controller/verdicts/request.go
@@ -56,7 +56,7 @@
 	if !refused {
 		return nil
 	}
-	return result.New(result.HeldBack, "%d servers ended under the request", len(v.Servers)).After(min(v.HeldFor, maxRetryAfter))
+	return result.New(result.HeldBack, "%d servers ended under the request", len(v.Servers)).After(min(v.Remaining, maxRetryAfter))
 }
 
 // Broke records that the connection to a server closed before the response was complete.
@@ -71,14 +71,14 @@
 // most requests that break off merely ran on a server that crashed, or the server has not
 // crashed, and these are retried at once.
 func (r *Request) EndsServers(ctx context.Context) bool {
-	if r.checked == nil || r.brokenAttempts < 2 && r.verdicts.Ends(r.computeFingerprint()) == 0 {
+	if r.checked == nil || r.brokenAttempts < 2 && r.verdicts.Crashes(r.computeFingerprint()) == 0 {
 		return false
 	}
 	select {
 	case <-r.checked:
 	case <-ctx.Done():
 	}
-	return r.verdicts.Ends(r.computeFingerprint()) > 1
+	return r.verdicts.Crashes(r.computeFingerprint()) > 1
 }
 
 // Ran records that a server of the service completed the request and is alive, which counts as
@@ -94,7 +94,7 @@
 // concurrent copies then crash one server instead of several, and requests that shared one
 // crash do not share a second one.
 func (r *Request) Affinity() uint64 {
-	if !r.verdicts.Watching() || r.verdicts.Ends(r.computeFingerprint()) == 0 {
+	if !r.verdicts.Watching() || r.verdicts.Crashes(r.computeFingerprint()) == 0 {
 		return 0
 	}
 	return r.computeFingerprint().Affinity()
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -161,11 +161,11 @@
 	return v, refused
 }
 
-// Ends returns the number of crashes during which a request was running.
-func (c *Controller) Ends(request poison.Fingerprint) int {
+// Crashes returns the number of crashes during which a request was running.
+func (c *Controller) Crashes(request poison.Fingerprint) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Ends(request)
+	return c.table.Crashes(request)
 }
 
 // Ran records that a server completed a request and is alive.
@@ -183,12 +183,12 @@
 // Lift voids the verdict on a request on behalf of an operator.
 func (c *Controller) Lift(request poison.Fingerprint, operator string) error {
 	c.mu.Lock()
-	v, held := c.table.Held(clock.Now(), request)
+	v, held := c.table.Blocked(clock.Now(), request)
 	c.mu.Unlock()
 	if !held {
 		return result.New(result.UnknownObject, "no verdict holds on %s", request)
 	}
-	c.apply(poison.Report{Liftings: []poison.Lifting{{Request: request, Number: v.Number}}}, origin{"operator " + operator, true})
+	c.apply(poison.Report{Lifts: []poison.Lift{{Request: request, Number: v.Number}}}, origin{"operator " + operator, true})
 	return nil
 }
 
@@ -213,7 +213,7 @@
 	defer c.mu.Unlock()
 	now := clock.Now()
 	before := c.blockedIn(now, r)
-	added, reached := c.table.Take(now, r)
+	added, reached := c.table.Apply(now, r)
 	c.watching.Store(!c.table.IsEmpty())
 	c.counts.Verdicts += int64(len(reached))
 	added.Verdicts = append(added.Verdicts, reached...)
@@ -221,7 +221,7 @@
 		c.recordBlocked(now, v, from)
 	}
 	for _, f := range before {
-		if _, still := c.table.Held(now, f); !still {
+		if _, still := c.table.Blocked(now, f); !still {
 			c.recordLifted(f, from)
 		}
 	}
@@ -238,11 +238,11 @@
 // blockedIn returns the blocked requests that a report may unblock.
 func (c *Controller) blockedIn(now time.Time, r poison.Report) (held []poison.Fingerprint) {
 	add := func(f poison.Fingerprint) {
-		if _, ok := c.table.Held(now, f); ok {
+		if _, ok := c.table.Blocked(now, f); ok {
 			held = append(held, f)
 		}
 	}
-	for _, l := range r.Liftings {
+	for _, l := range r.Lifts {
 		add(l.Request)
 	}
 	for _, run := range r.Runs {
@@ -254,9 +254,9 @@
 // recordBlocked logs a verdict with its evidence and schedules the store write.
 func (c *Controller) recordBlocked(now time.Time, v poison.Verdict, from origin) {
 	c.Log.Warn("request held back", zap.Stringer("fingerprint", v.Request), zap.Int("number", v.Number), zap.String("service", v.Service),
-		zap.Strings("servers", v.Servers), zap.Duration("held_for_ms", v.HeldFor), zap.String("source", from.name))
+		zap.Strings("servers", v.Servers), zap.Duration("held_for_ms", v.Remaining), zap.String("source", from.name))
 	if from.local {
-		c.enqueueWrite(v.Request, pendingWrite{verdict: v, until: now.Add(v.HeldFor)})
+		c.enqueueWrite(v.Request, pendingWrite{verdict: v, until: now.Add(v.Remaining)})
 	}
 }
 
--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -207,7 +207,7 @@
 		b.setUnreachable("r0", false)
 		time.Sleep(2 * time.Second)
 		for i, r := range []*verdicts.Controller{one, other, third} {
-			if n := r.Ends(request("k")); n != 2 {
+			if n := r.Crashes(request("k")); n != 2 {
 				t.Errorf("router %d counts %d crashes", i, n)
 			}
 		}
@@ -216,7 +216,7 @@
 		for _, r := range []poison.Report{news, log} {
 			third.Receive(r)
 		}
-		if n := third.Ends(request("k")); n != 2 || held(third) != 0 {
+		if n := third.Crashes(request("k")); n != 2 || held(third) != 0 {
 			t.Errorf("%d crashes after old reports, %d verdicts", n, held(third))
 		}
 	})
@@ -342,7 +342,7 @@
 		one, reader := newNetwork().join(t.Context(), "r0", nil), verdicts.New(verdicts.Options{Log: zap.NewNop()})
 		crashWhileRunning("k", 0, 2, one)
 		all, seq := one.Since(-1)
-		if len(all.Endings) != 2 {
+		if len(all.Crashes) != 2 {
 			t.Fatalf("%+v", all)
 		}
 		if again, last := one.Since(seq); !again.IsEmpty() || last != seq {
--- /dev/null
+++ b/poison/evaluate.go
@@ -0,0 +1,135 @@
+package poison
+
+import (
+	"time"
+
+	"github.com/gaplink/gaplink/placement"
+)
+
+const (
+	// minCrashes is the number of crashes that blocks a request. One crash proves nothing,
+	// since dozens of requests run on a server that crashes. A request that is retried while
+	// the servers of a failure domain crash one after the other sees two. Three independent
+	// crashes, without a successful run in between and without another request that explains
+	// them better, happened to one of 320,000 requests among 1,800 crashes of servers that
+	// crashed for other reasons (TestNoVerdictWithoutPoison).
+	minCrashes = 3
+	// minAmbiguousCrashes is the number of crashes that blocks a request although another
+	// request ran at all of them: each further crash fails dozens of other requests, and a
+	// successful run still clears the harmless one.
+	minAmbiguousCrashes = 5
+	// correlationWindow is how long after one server of a failure domain another may crash
+	// from the same cause, and failoverWindow how soon a request that lost its server reaches
+	// the next one if it is retried at once. Without the two, with minAmbiguousCrashes for
+	// crashes that are not independent, 3 of those requests were blocked.
+	correlationWindow = time.Second
+	failoverWindow    = 100 * time.Millisecond
+	// duplicateWindow is the time within which crashes reported for a server without a start
+	// time are the same crash: routers observe it some tens of milliseconds apart, or as late
+	// as sent bytes may stay unacknowledged (1.5 s) if packets are lost, and no server is back
+	// much sooner.
+	duplicateWindow = 2 * time.Second
+)
+
+// evaluate returns the new verdicts that follow from the recorded crashes.
+func (t *Table) evaluate(now time.Time) (verdicts []Verdict) {
+	for f, r := range t.requests {
+		if r.blocked(now) || len(r.crashes) <= r.crashesAtVerdict || !t.shouldBlock(f, r) {
+			continue
+		}
+		r.number = max(r.number, r.lifted) + 1
+		r.crashesAtVerdict = len(r.crashes)
+		r.until = now.Add(blockDurationFor(r.number, r.lifted))
+		r.service, r.servers = t.evidence(r)
+		verdicts = append(verdicts, r.verdict(now, f))
+	}
+	return verdicts
+}
+
+// evidence returns the service of the last crash and the servers of all.
+func (t *Table) evidence(r *record) (service string, servers []string) {
+	for _, in := range r.crashes {
+		servers = append(servers, in.ID)
+		service = t.crashes[in].service
+	}
+	return service, servers
+}
+
+// shouldBlock reports whether the crashes of a request justify a verdict.
+func (t *Table) shouldBlock(f Fingerprint, r *record) bool {
+	if len(r.crashes) < minCrashes && !r.hasVerdict() {
+		return false // the common case
+	}
+	independent := t.independentCrashes(f, r)
+	switch {
+	case r.hasVerdict():
+		return independent > 0
+	case independent >= minAmbiguousCrashes:
+		return true
+	default:
+		return independent >= minCrashes && !t.isAmbiguous(f, r)
+	}
+}
+
+// independentCrashes counts the crashes that no other request explains better. Crashes that a
+// request met while it was retried at once, and correlated ones, may have one cause and count
+// as one.
+func (t *Table) independentCrashes(f Fingerprint, r *record) (independent int) {
+	var counted time.Time
+	for _, in := range r.crashes {
+		e := t.crashes[in]
+		if t.explained(e, f, r) {
+			continue
+		}
+		since := e.at.Sub(counted)
+		if since <= failoverWindow || since <= correlationWindow && t.isCorrelated(e, f) {
+			continue
+		}
+		independent++
+		counted = e.at
+	}
+	return independent
+}
+
+// isCorrelated reports whether a crash may be one of a series with another cause: a server of
+// the same service crashed at about the same time without running the request.
+func (t *Table) isCorrelated(e *crash, f Fingerprint) bool {
+	for _, other := range t.crashes {
+		if _, ranThere := other.suspects[f]; !ranThere && other.service == e.service && e.at.Sub(other.at).Abs() <= correlationWindow {
+			return true
+		}
+	}
+	return false
+}
+
+// explained reports whether another request that ran at a crash ran at more crashes than this
+// one, and so is the more likely cause. This clears requests that were retried onto the next
+// server that the same poison request crashed.
+func (t *Table) explained(e *crash, f Fingerprint, r *record) bool {
+	for other, present := range e.suspects {
+		if present && other != f && t.Crashes(other) > len(r.crashes) {
+			return true
+		}
+	}
+	return false
+}
+
+// isAmbiguous reports whether another request ran at all the same crashes, so that the cause
+// cannot be told.
+func (t *Table) isAmbiguous(f Fingerprint, r *record) bool {
+	for other, present := range t.crashes[r.crashes[0]].suspects {
+		if present && other != f && t.ranAtAll(other, r.crashes) {
+			return true
+		}
+	}
+	return false
+}
+
+func (t *Table) ranAtAll(f Fingerprint, crashes []placement.Incarnation) bool {
+	for _, in := range crashes {
+		if !t.crashes[in].suspects[f] {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/poison/expire.go
@@ -0,0 +1,89 @@
+package poison
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/gaplink/gaplink/placement"
+)
+
+const (
+	// crashRetention is how long the crash of a process is kept. A caller that repeats a
+	// poison request less often than this crashes a server each time; more often, three at
+	// most.
+	crashRetention = time.Hour
+	// verdictRetention is how long an expired verdict is kept, so that the next one needs one
+	// crash instead of three.
+	verdictRetention = 24 * time.Hour
+	// maxCrashes and maxRequests bound the memory: with 64 requests per crash, 2 MB
+	// (TestMemoryIsBounded). The records with the least evidence are evicted first.
+	maxCrashes  = 512
+	maxRequests = 4096
+)
+
+// Expire drops crashes and verdicts past their retention.
+func (t *Table) Expire(now time.Time) {
+	for len(t.crashOrder) > 0 && now.Sub(t.crashes[t.crashOrder[0]].at) > crashRetention {
+		t.dropOldestCrash(t.crashOrder[0])
+	}
+	for f, r := range t.requests {
+		if len(r.crashes) == 0 && now.Sub(r.last) > verdictRetention && !r.blocked(now) {
+			delete(t.requests, f)
+		}
+	}
+}
+
+// dropIfEmpty drops the record of a request without crashes or verdicts.
+func (t *Table) dropIfEmpty(f Fingerprint) {
+	if r := t.requests[f]; len(r.crashes) == 0 && r.number == 0 {
+		delete(t.requests, f)
+	}
+}
+
+func (t *Table) trimCrashes() {
+	for len(t.crashOrder) > maxCrashes {
+		t.dropOldestCrash(t.crashOrder[0])
+	}
+}
+
+// dropOldestCrash drops a crash, which must be the oldest.
+func (t *Table) dropOldestCrash(in placement.Incarnation) {
+	for f := range t.crashes[in].suspects {
+		r := t.requests[f]
+		if r == nil {
+			continue
+		}
+		r.crashes = slices.DeleteFunc(r.crashes, func(other placement.Incarnation) bool { return other == in })
+		r.crashesAtVerdict = min(r.crashesAtVerdict, len(r.crashes))
+		t.dropIfEmpty(f)
+	}
+	delete(t.crashes, in)
+	t.crashOrder = t.crashOrder[1:]
+}
+
+// evictRequests makes room for new requests. It evicts an eighth of them at once, so that they
+// are not sorted at each insertion: first those without a verdict, then those with fewer
+// crashes, then those whose last crash is longest ago.
+func (t *Table) evictRequests() {
+	all := slices.Collect(maps.Keys(t.requests))
+	slices.SortFunc(all, func(a, b Fingerprint) int { return compareEvictionOrder(t.requests[a], t.requests[b]) })
+	for _, f := range all[:len(all)/8] {
+		for _, in := range t.requests[f].crashes {
+			delete(t.crashes[in].suspects, f)
+		}
+		delete(t.requests, f)
+	}
+}
+
+// compareEvictionOrder orders records by their priority, the first to be evicted first.
+func compareEvictionOrder(a, b *record) int {
+	if a.hasVerdict() != b.hasVerdict() {
+		if a.hasVerdict() {
+			return 1
+		}
+		return -1
+	}
+	return cmp.Or(cmp.Compare(len(a.crashes), len(b.crashes)), a.last.Compare(b.last))
+}
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -1,9 +1,8 @@
-// Package poison knows requests again under which backend servers end.
+// Package poison identifies the requests that crash backend servers.
 //
-// A request that ends the process that runs it is a poison request (a query of
-// death): whoever sends it on, be it a router's retry or its caller's, ends another
-// server, and with it the requests of others that run there. The package is pure:
-// callers pass the time.
+// A request that crashes the process that runs it is a poison request (a query of death): each
+// time it is sent again, by a router's retry or by its caller, it crashes another server and
+// fails the other requests that run there. The package is pure: callers pass the time.
 package poison
 
 import (
@@ -13,21 +12,21 @@
 	"fmt"
 )
 
-// Fingerprint identifies what a caller asks for: two tries of one request have the
-// same, whatever their ids.
+// Fingerprint identifies the content of a request: two attempts of one request have the same
+// fingerprint, whatever their ids.
 //
-// It is a cut SHA-256. A shorter or faster hash would do against chance, but anybody
-// could compute a second body for it, and have another's request held back. 128 bits
-// keep that out of reach without a secret that all routers would have to share.
+// It is a truncated SHA-256. A shorter or faster hash would avoid accidental collisions, but
+// anybody could compute a second body with the same hash and have another caller's request
+// blocked. 128 bits prevent that without a secret that all routers would have to share.
 type Fingerprint [16]byte
 
-// Identity is what makes two requests the same.
+// Identity holds the parts of a request that its fingerprint covers.
 type Identity struct {
-	// Account is the client account that asks; empty on a public route. No account
-	// can make requests that are taken for those of another.
+	// Account is the client account that sends the request; empty on a public route. It keeps
+	// an account from creating requests with the fingerprint of another account's request.
 	Account string
 	Method  string
-	// Host is empty where it does not say what is asked for, but which router is.
+	// Host is empty where it names the router and not the content that is requested.
 	Host string
 	// Target is the path with its query.
 	Target string
@@ -39,18 +38,18 @@
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [...][]byte{[]byte(id.Account), []byte(id.Method), []byte(id.Host), []byte(id.Target), id.Body} {
-		// Each part goes in behind its length, so that none can run into the next.
+		// Each part is prefixed with its length, so that part boundaries are unambiguous.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = h.Write(length[:]) // a hash never fails
+		_, _ = h.Write(length[:]) // hash.Hash never returns an error
 		_, _ = h.Write(part)
 	}
 	return Fingerprint(h.Sum(nil))
 }
 
-// String returns the fingerprint in hexadecimal digits, as logs and operators see it.
+// String returns the fingerprint in hexadecimal digits, as shown in logs and to operators.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads what String wrote.
+// Parse parses a fingerprint formatted by String.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(text)
@@ -64,5 +63,5 @@
 	return f, nil
 }
 
-// Affinity returns a hash of the fingerprint for the choice of a server, never 0.
+// Affinity returns a hash of the fingerprint that selects a server, never 0.
 func (f Fingerprint) Affinity() uint64 { return max(binary.BigEndian.Uint64(f[:8]), 1) }
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -10,8 +10,9 @@
 	return poison.Identity{Account: "acme", Method: "POST", Host: "api", Target: "/x/y?q=1", Body: []byte("body")}
 }
 
-// TestFingerprintTellsRequestsApart: each part counts, and none runs into the next.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// Guards against requests that share a fingerprint because a part or a part boundary is not
+// covered.
+func TestFingerprintCoversEachPart(t *testing.T) {
 	changes := map[string]func(*poison.Identity){
 		"account":  func(id *poison.Identity) { id.Account = "other" },
 		"method":   func(id *poison.Identity) { id.Method = "PUT" },
@@ -25,11 +26,11 @@
 		other := identity()
 		change(&other)
 		if other.Fingerprint() == identity().Fingerprint() {
-			t.Errorf("another %s has the same fingerprint", name)
+			t.Errorf("a different %s gives the same fingerprint", name)
 		}
 	}
 	if one, again := identity().Fingerprint(), identity().Fingerprint(); one != again {
-		t.Error("two tries of one request differ")
+		t.Error("two attempts of one request have different fingerprints")
 	}
 }
 
@@ -40,7 +41,7 @@
 	}
 	for _, bad := range []string{"", "zz", f.String()[2:], f.String() + "00"} {
 		if _, err := poison.Parse(bad); err == nil {
-			t.Errorf("%q is taken for a fingerprint", bad)
+			t.Errorf("Parse accepts %q", bad)
 		}
 	}
 }
--- a/poison/report.go
+++ b/poison/report.go
@@ -7,81 +7,81 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// Ending is the end of a server's process and the requests that ran there, as far as
-// one router knows them.
-type Ending struct {
+// Crash is the crash of a server's process and the requests that ran there, as far as one
+// router knows them.
+type Crash struct {
 	Server   placement.Incarnation
 	Service  string
 	Requests []Fingerprint
-	// Ago is how long ago it was.
-	Ago time.Duration
+	// Age is the time since the crash.
+	Age time.Duration
 }
 
-// Verdict is that a request is held back.
+// Verdict is the decision to block a request.
 type Verdict struct {
 	Request Fingerprint
-	// Number counts the verdicts on the request, from 1. A verdict is void once it, or
-	// a later one, was lifted.
+	// Number counts the verdicts on the request, from 1. A verdict is void once it, or a later
+	// one, was lifted.
 	Number int
-	// Service is where the last server ended, and Servers are the ids of those whose
-	// end the request is held to account for.
+	// Service is the one whose server crashed last, and Servers are the ids of the servers
+	// that crashed while the request ran.
 	Service string
 	Servers []string
-	// HeldFor is how much longer it holds.
-	HeldFor time.Duration
+	// Remaining is how much longer the request is blocked.
+	Remaining time.Duration
 }
 
-// Lifting voids the verdicts on a request up to a number.
-type Lifting struct {
+// Lift voids the verdicts on a request up to a number.
+type Lift struct {
 	Request Fingerprint
 	Number  int
 }
 
-// Run is a run of a request that left its server alive.
+// Run is a successful run of a request, after which its server was still alive.
 type Run struct {
 	Request Fingerprint
 	Service string
 }
 
-// Report is what routers tell each other. The zero value tells nothing.
+// Report carries what routers propagate to each other. The zero value is empty.
 type Report struct {
-	Endings  []Ending
+	Crashes  []Crash
 	Runs     []Run
 	Verdicts []Verdict
-	Liftings []Lifting
-	// Trials are requests of which one run was let through just now.
+	Lifts    []Lift
+	// Trials are requests of which one trial run was just admitted.
 	Trials []Fingerprint
 }
 
-// IsEmpty tells whether a report tells nothing.
+// IsEmpty reports whether a report is empty.
 func (r Report) IsEmpty() bool {
-	return len(r.Endings) == 0 && len(r.Runs) == 0 && len(r.Verdicts) == 0 && len(r.Liftings) == 0 && len(r.Trials) == 0
+	return len(r.Crashes) == 0 && len(r.Runs) == 0 && len(r.Verdicts) == 0 && len(r.Lifts) == 0 && len(r.Trials) == 0
 }
 
-// Aged returns a report as it is to be told so much later: what happened then is longer
-// ago, and verdicts hold for less.
+// Aged returns the report as of a later time: crashes are older by that much, and verdicts
+// have less time remaining.
 func (r Report) Aged(by time.Duration) Report {
-	r.Endings = slices.Clone(r.Endings)
-	for i := range r.Endings {
-		r.Endings[i].Ago += by
+	r.Crashes = slices.Clone(r.Crashes)
+	for i := range r.Crashes {
+		r.Crashes[i].Age += by
 	}
 	r.Verdicts = slices.Clone(r.Verdicts)
 	for i := range r.Verdicts {
-		r.Verdicts[i].HeldFor -= by
+		r.Verdicts[i].Remaining -= by
 	}
 	return r
 }
 
-// Add puts what another report tells behind what this one does.
+// Add appends the contents of another report.
 func (r *Report) Add(other Report) {
-	r.Endings = append(r.Endings, other.Endings...)
+	r.Crashes = append(r.Crashes, other.Crashes...)
 	r.Runs = append(r.Runs, other.Runs...)
 	r.Verdicts = append(r.Verdicts, other.Verdicts...)
-	r.Liftings = append(r.Liftings, other.Liftings...)
+	r.Lifts = append(r.Lifts, other.Lifts...)
 	r.Trials = append(r.Trials, other.Trials...)
 }
 
-// Merged returns a report that tells what this one does and then what a later one does.
+// Merged returns a report with the contents of this one followed by those of a later one.
 func (r Report) Merged(later Report) Report {
 	var merged Report
 	merged.Add(r)
--- a/poison/table.go
+++ b/poison/table.go
@@ -7,124 +7,127 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// holds are how long the first and the second verdict on a request hold. A wrong one
-// must end soon without an operator, since it may bar what many callers ask; and a later
-// version of a model may serve what ended this one. After each hold one run is let
-// through to find out, and one more end is enough for the next verdict. The third holds
-// until it is lifted, so that a request ends two servers more than those at first.
-var holds = []time.Duration{time.Minute, time.Hour}
+// blockDurations are how long the first and the second verdict block a request. A wrong
+// verdict must expire soon without an operator, since it may block a request of many callers,
+// and a later version of a model may be able to run it. After each block one trial run is
+// admitted, and one more crash is enough for the next verdict. The third verdict blockDurations until
+// it is lifted, so that a request crashes only two servers more after the first verdict.
+var blockDurations = []time.Duration{time.Minute, time.Hour}
 
-// trialTime is how long the run that is let through after a hold may take before
-// another one is. A good run clears the request, a bad one holds it back again.
-const trialTime = 2 * time.Second
+// trialTimeout is how long a trial run may take before another one is admitted. A successful
+// run clears the request, a crash blocks it again.
+const trialTimeout = 2 * time.Second
 
-// untilLifted is the hold of later verdicts.
-const untilLifted = 100 * 365 * 24 * time.Hour
+// indefinite is the block duration of the third and later verdicts, which only an operator or
+// a successful run ends.
+const indefinite = 100 * 365 * 24 * time.Hour
 
-// holdOf returns how long the verdict with that number holds.
-func holdOf(number, lifted int) time.Duration {
-	if i := number - lifted - 1; i < len(holds) {
-		return holds[max(i, 0)]
+// blockDurationFor returns the block duration of a verdict, given its number and the number of
+// the last one that was lifted.
+func blockDurationFor(number, lifted int) time.Duration {
+	if i := number - lifted - 1; i < len(blockDurations) {
+		return blockDurations[max(i, 0)]
 	}
-	return untilLifted
+	return indefinite
 }
 
-// ending is the end of a process, as far as the fleet knows it.
-type ending struct {
+// crash is the crash of a process, merged from the reports of all routers.
+type crash struct {
 	// server is the process as it was reported.
 	server  placement.Incarnation
 	service string
 	at      time.Time
-	// present are the requests that ran there; false marks one that was cleared, so
-	// that a router that reports the same end later does not bring it back.
-	present map[Fingerprint]bool
+	// suspects are the requests that ran there; false marks one that was cleared, so that a
+	// later report of the same crash does not make it a suspect again.
+	suspects map[Fingerprint]bool
 }
 
-// record is what is known of a request.
+// record is the state of one request.
 type record struct {
-	// ends are the processes that ended while it ran there, the oldest first.
-	ends []placement.Incarnation
-	last time.Time
-	// number is that of the last verdict, and lifted up to which they are void.
+	// crashes are the processes that crashed while the request ran there, the oldest first.
+	crashes []placement.Incarnation
+	last    time.Time
+	// number is that of the last verdict; verdicts up to lifted are void.
 	number, lifted int
-	// judged is the number of ends at the last verdict: the next needs another one.
-	judged  int
-	until   time.Time
-	service string
-	servers []string
-	// trial is when a run was last let through after a hold.
-	trial time.Time
+	// crashesAtVerdict is the number of crashes at the last verdict: the next one needs
+	// another crash.
+	crashesAtVerdict int
+	until            time.Time
+	service          string
+	servers          []string
+	// trialAt is when a trialAt run was last admitted.
+	trialAt time.Time
 }
 
-// judgedBefore tells whether there was a verdict that nobody lifted.
-func (r *record) judgedBefore() bool { return r.number > r.lifted }
+// hasVerdict reports whether there is a verdict, in force or expired, that was not lifted.
+func (r *record) hasVerdict() bool { return r.number > r.lifted }
 
-func (r *record) held(now time.Time) bool { return r.judgedBefore() && now.Before(r.until) }
+func (r *record) blocked(now time.Time) bool { return r.hasVerdict() && now.Before(r.until) }
 
-// Table is what a router knows of requests and the ends of servers. It is not safe for
-// concurrent use.
+// Table holds a router's records of crashes and of the requests that ran at them. It is not
+// safe for concurrent use.
 type Table struct {
-	ends     map[placement.Incarnation]*ending
-	order    []placement.Incarnation // of ends, the oldest first
-	requests map[Fingerprint]*record
+	crashes    map[placement.Incarnation]*crash
+	crashOrder []placement.Incarnation // keys of crashes, the oldest first
+	requests   map[Fingerprint]*record
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{ends: map[placement.Incarnation]*ending{}, requests: map[Fingerprint]*record{}}
+	return &Table{crashes: map[placement.Incarnation]*crash{}, requests: map[Fingerprint]*record{}}
 }
 
-// IsEmpty tells whether nothing is known of any request.
+// IsEmpty reports whether the table has no record of any request.
 func (t *Table) IsEmpty() bool { return len(t.requests) == 0 }
 
-// Suspects returns the number of requests of which something is known.
+// Suspects returns the number of requests on record.
 func (t *Table) Suspects() int { return len(t.requests) }
 
-// Held returns the verdict on a request, if it is held back now.
-func (t *Table) Held(now time.Time, f Fingerprint) (Verdict, bool) {
+// Blocked returns the verdict that blocks a request now, if there is one.
+func (t *Table) Blocked(now time.Time, f Fingerprint) (Verdict, bool) {
 	r := t.requests[f]
-	if r == nil || !r.held(now) {
+	if r == nil || !r.blocked(now) {
 		return Verdict{}, false
 	}
 	return r.verdict(now, f), true
 }
 
-// Admit returns the verdict by which a request that has arrived is to be refused, if
-// there is one. trial tells that it is the run which is let through after a hold.
+// Admit returns the verdict that blocks a newly arrived request, if there is one. trial is set
+// if the request is admitted as a trial run after its block expired.
 func (t *Table) Admit(now time.Time, f Fingerprint) (v Verdict, refused, trial bool) {
 	r := t.requests[f]
 	switch {
-	case r == nil || !r.judgedBefore():
+	case r == nil || !r.hasVerdict():
 		return Verdict{}, false, false
-	case r.held(now):
+	case r.blocked(now):
 		return r.verdict(now, f), true, false
-	case now.Sub(r.trial) < trialTime:
+	case now.Sub(r.trialAt) < trialTimeout:
 		v = r.verdict(now, f)
-		v.HeldFor = r.trial.Add(trialTime).Sub(now)
+		v.Remaining = r.trialAt.Add(trialTimeout).Sub(now)
 		return v, true, false
 	default:
-		r.trial = now
+		r.trialAt = now
 		return Verdict{}, false, true
 	}
 }
 
 func (r *record) verdict(now time.Time, f Fingerprint) Verdict {
-	return Verdict{Request: f, Number: r.number, Service: r.service, Servers: r.servers, HeldFor: r.until.Sub(now)}
+	return Verdict{Request: f, Number: r.number, Service: r.service, Servers: r.servers, Remaining: r.until.Sub(now)}
 }
 
-// Ends returns under how many processes' ends a request has run.
-func (t *Table) Ends(f Fingerprint) int {
+// Crashes returns the number of crashes during which a request was running.
+func (t *Table) Crashes(f Fingerprint) int {
 	if r := t.requests[f]; r != nil {
-		return len(r.ends)
+		return len(r.crashes)
 	}
 	return 0
 }
 
-// Verdicts returns all that hold, by fingerprint.
+// Verdicts returns the verdicts in force, ordered by fingerprint.
 func (t *Table) Verdicts(now time.Time) []Verdict {
 	var all []Verdict
 	for f, r := range t.requests {
-		if r.held(now) {
+		if r.blocked(now) {
 			all = append(all, r.verdict(now, f))
 		}
 	}
@@ -132,96 +135,97 @@
 	return all
 }
 
-// Take takes a report, of this router or another one. It returns the part of it that
-// is new here, and the verdicts that follow from it.
-func (t *Table) Take(now time.Time, r Report) (news Report, verdicts []Verdict) {
-	for _, l := range r.Liftings {
+// Apply applies a report of this router or of another one. It returns the part of the report
+// that is new here, and the verdicts that follow from it.
+func (t *Table) Apply(now time.Time, r Report) (added Report, verdicts []Verdict) {
+	for _, l := range r.Lifts {
 		if t.lift(now, l) {
-			news.Liftings = append(news.Liftings, l)
+			added.Lifts = append(added.Lifts, l)
 		}
 	}
-	for _, e := range r.Endings {
-		if fresh := t.end(now, e); len(fresh.Requests) > 0 {
-			news.Endings = append(news.Endings, fresh)
+	for _, e := range r.Crashes {
+		if part := t.addCrash(now, e); len(part.Requests) > 0 {
+			added.Crashes = append(added.Crashes, part)
 		}
 	}
 	for _, run := range r.Runs {
 		if t.clear(now, run) {
-			news.Runs = append(news.Runs, run)
+			added.Runs = append(added.Runs, run)
 		}
 	}
 	for _, v := range r.Verdicts {
-		if t.impose(now, v) {
-			news.Verdicts = append(news.Verdicts, v)
+		if t.applyVerdict(now, v) {
+			added.Verdicts = append(added.Verdicts, v)
 		}
 	}
 	for _, f := range r.Trials {
-		if t.trialBegun(now, f) {
-			news.Trials = append(news.Trials, f)
+		if t.recordTrial(now, f) {
+			added.Trials = append(added.Trials, f)
 		}
 	}
-	if news.IsEmpty() {
-		return news, nil
+	if added.IsEmpty() {
+		return added, nil
 	}
-	return news, t.judge(now)
+	return added, t.evaluate(now)
 }
 
-// trialBegun notes that another router lets a run through.
-func (t *Table) trialBegun(now time.Time, f Fingerprint) bool {
+// recordTrial records a trial run admitted by another router.
+func (t *Table) recordTrial(now time.Time, f Fingerprint) bool {
 	r := t.requests[f]
-	if r == nil || now.Sub(r.trial) < trialTime {
+	if r == nil || now.Sub(r.trialAt) < trialTimeout {
 		return false
 	}
-	r.trial = now
+	r.trialAt = now
 	return true
 }
 
-// end notes the end of a process and returns the part that is new.
-func (t *Table) end(now time.Time, e Ending) (fresh Ending) {
-	at := now.Add(-e.Ago)
-	in := t.processOf(e.Server, at)
-	one := t.ends[in]
-	if one == nil {
-		one = &ending{server: e.Server, service: e.Service, at: at, present: map[Fingerprint]bool{}}
-		t.ends[in] = one
-		t.order = append(t.order, in)
-		t.forgetOldest()
+// addCrash records the crash of a process and returns the part of it that is new.
+func (t *Table) addCrash(now time.Time, e Crash) (fresh Crash) {
+	at := now.Add(-e.Age)
+	in := t.crashKey(e.Server, at)
+	recorded := t.crashes[in]
+	if recorded == nil {
+		recorded = &crash{server: e.Server, service: e.Service, at: at, suspects: map[Fingerprint]bool{}}
+		t.crashes[in] = recorded
+		t.crashOrder = append(t.crashOrder, in)
+		t.trimCrashes()
 	}
-	fresh = Ending{Server: e.Server, Service: e.Service, Ago: now.Sub(one.at)}
+	fresh = Crash{Server: e.Server, Service: e.Service, Age: now.Sub(recorded.at)}
 	for _, f := range e.Requests {
-		if _, known := one.present[f]; known {
+		if _, known := recorded.suspects[f]; known {
 			continue
 		}
-		one.present[f] = true
+		recorded.suspects[f] = true
 		fresh.Requests = append(fresh.Requests, f)
 		r := t.recordOf(f)
-		r.ends = append(r.ends, in)
+		r.crashes = append(r.crashes, in)
 		r.last = now
 	}
 	return fresh
 }
 
-// processOf returns by what the end of a process is known here. Servers that do not tell
-// when they started have one name for all their processes: two ends close together are
-// one that several routers saw, and others are told apart by their time.
-func (t *Table) processOf(in placement.Incarnation, at time.Time) placement.Incarnation {
+// crashKey returns the key under which the crash of a process is recorded. Servers that do not
+// report their start time have the same incarnation for all their processes: two crashes close
+// together are one that several routers observed, and others are distinguished by their time.
+func (t *Table) crashKey(in placement.Incarnation, at time.Time) placement.Incarnation {
 	if in.Started != 0 {
 		return in
 	}
-	for known, e := range t.ends {
-		if e.server == in && e.at.Sub(at).Abs() < sameEnd {
+	for known, e := range t.crashes {
+		if e.server == in && e.at.Sub(at).Abs() < duplicateWindow {
 			return known
 		}
 	}
 	return placement.Incarnation{ID: in.ID, Started: -at.UnixNano()}
 }
 
-// recordOf returns what is known of a request, and makes room for one that is new.
+// recordOf returns the record of a request. It creates one for a new request, evicting others
+// if the table is full.
 func (t *Table) recordOf(f Fingerprint) *record {
 	r := t.requests[f]
 	if r == nil {
 		if len(t.requests) >= maxRequests {
-			t.forgetLightest()
+			t.evictRequests()
 		}
 		r = &record{}
 		t.requests[f] = r
@@ -229,51 +233,50 @@
 	return r
 }
 
-// clear takes a good run into account: none of the ends at that service was the
-// request's doing. Ends at another one stand, since two services may run two versions
-// of a model.
+// clear applies a successful run: the request caused none of the crashes at that service.
+// Crashes at another service remain, since two services may run two versions of a model.
 func (t *Table) clear(now time.Time, run Run) bool {
 	r := t.requests[run.Request]
 	if r == nil {
 		return false
 	}
-	kept := slices.DeleteFunc(slices.Clone(r.ends), func(in placement.Incarnation) bool {
-		return t.ends[in].service == run.Service
+	kept := slices.DeleteFunc(slices.Clone(r.crashes), func(in placement.Incarnation) bool {
+		return t.crashes[in].service == run.Service
 	})
-	lifts := r.judgedBefore() && r.service == run.Service
-	if len(kept) == len(r.ends) && !lifts {
+	lifts := r.hasVerdict() && r.service == run.Service
+	if len(kept) == len(r.crashes) && !lifts {
 		return false
 	}
 	if lifts {
 		r.lifted = r.number
 	}
-	for _, in := range r.ends {
+	for _, in := range r.crashes {
 		if !slices.Contains(kept, in) {
-			t.ends[in].present[run.Request] = false
+			t.crashes[in].suspects[run.Request] = false
 		}
 	}
-	r.ends, r.judged, r.last = kept, min(r.judged, len(kept)), now
+	r.crashes, r.crashesAtVerdict, r.last = kept, min(r.crashesAtVerdict, len(kept)), now
 	t.dropIfEmpty(run.Request)
 	return true
 }
 
-// lift voids verdicts, and what they rested on.
-func (t *Table) lift(now time.Time, l Lifting) bool {
-	r := t.recordOf(l.Request) // also one not known here: its verdict may still be on its way
+// lift voids verdicts and drops the crashes on which they were based.
+func (t *Table) lift(now time.Time, l Lift) bool {
+	r := t.recordOf(l.Request) // created if missing: the verdict may arrive after the lift
 	if r.lifted >= l.Number {
 		return false
 	}
 	r.lifted, r.last = l.Number, now
 	r.number = max(r.number, l.Number)
-	for _, in := range r.ends {
-		t.ends[in].present[l.Request] = false
+	for _, in := range r.crashes {
+		t.crashes[in].suspects[l.Request] = false
 	}
-	r.ends, r.judged = nil, 0
+	r.crashes, r.crashesAtVerdict = nil, 0
 	return true
 }
 
-// impose takes another router's verdict.
-func (t *Table) impose(now time.Time, v Verdict) bool {
+// applyVerdict applies a verdict of another router.
+func (t *Table) applyVerdict(now time.Time, v Verdict) bool {
 	r := t.requests[v.Request]
 	if r != nil && v.Number <= max(r.number, r.lifted) {
 		return false
@@ -281,34 +284,34 @@
 	if r == nil {
 		r = t.recordOf(v.Request)
 	}
-	r.number, r.judged, r.last = v.Number, len(r.ends), now
-	r.until = now.Add(v.HeldFor)
+	r.number, r.crashesAtVerdict, r.last = v.Number, len(r.crashes), now
+	r.until = now.Add(v.Remaining)
 	r.service, r.servers = v.Service, v.Servers
 	return true
 }
 
-// Snapshot returns what a router needs that knows nothing: the verdicts, and the ends
-// of the last minutes.
+// Snapshot returns what a router needs at its start: the verdicts in force, the lifts, and the
+// latest crashes.
 func (t *Table) Snapshot(now time.Time) Report {
 	r := Report{Verdicts: t.Verdicts(now)}
-	for f, one := range t.requests {
-		if one.lifted > 0 {
-			r.Liftings = append(r.Liftings, Lifting{Request: f, Number: one.lifted})
+	for f, request := range t.requests {
+		if request.lifted > 0 {
+			r.Lifts = append(r.Lifts, Lift{Request: f, Number: request.lifted})
 		}
 	}
-	newest := t.order[max(len(t.order)-snapshotEnds, 0):]
+	newest := t.crashOrder[max(len(t.crashOrder)-maxSnapshotCrashes, 0):]
 	for _, in := range newest {
-		e := t.ends[in]
-		one := Ending{Server: e.server, Service: e.service, Ago: now.Sub(e.at)}
-		for f, present := range e.present {
+		e := t.crashes[in]
+		reported := Crash{Server: e.server, Service: e.service, Age: now.Sub(e.at)}
+		for f, present := range e.suspects {
 			if present {
-				one.Requests = append(one.Requests, f)
+				reported.Requests = append(reported.Requests, f)
 			}
 		}
-		r.Endings = append(r.Endings, one)
+		r.Crashes = append(r.Crashes, reported)
 	}
 	return r
 }
 
-// snapshotEnds bounds the ends in a snapshot: 64 KB with 64 requests at each.
-const snapshotEnds = 64
+// maxSnapshotCrashes bounds the crashes in a snapshot: 64 KB with 64 requests each.
+const maxSnapshotCrashes = 64
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func print(body string) poison.Fingerprint {
+func fingerprint(body string) poison.Fingerprint {
 	return poison.Identity{Account: "acme", Body: []byte(body)}.Fingerprint()
 }
 
@@ -21,22 +21,22 @@
 	return placement.Incarnation{ID: fmt.Sprint("s", n), Started: int64(n) + 1}
 }
 
-// ended is a report that server n of the service llm ended while these requests ran.
-func ended(n int, bodies ...string) poison.Report { return endedOf("llm", n, bodies...) }
+// crashReport reports that server n of the service llm crashed while these requests ran.
+func crashReport(n int, bodies ...string) poison.Report { return crashReportOf("llm", n, bodies...) }
 
-func endedOf(service string, n int, bodies ...string) poison.Report {
-	e := poison.Ending{Server: server(n), Service: service}
+func crashReportOf(service string, n int, bodies ...string) poison.Report {
+	e := poison.Crash{Server: server(n), Service: service}
 	for _, b := range bodies {
-		e.Requests = append(e.Requests, print(b))
+		e.Requests = append(e.Requests, fingerprint(b))
 	}
-	return poison.Report{Endings: []poison.Ending{e}}
+	return poison.Report{Crashes: []poison.Crash{e}}
 }
 
-func ran(service, body string) poison.Report {
-	return poison.Report{Runs: []poison.Run{{Request: print(body), Service: service}}}
+func successReport(service, body string) poison.Report {
+	return poison.Report{Runs: []poison.Run{{Request: fingerprint(body), Service: service}}}
 }
 
-// table is a poison.Table at a moment.
+// table is a poison.Table with a clock.
 type table struct {
 	*poison.Table
 	t   *testing.T
@@ -45,212 +45,213 @@
 
 func newTable(t *testing.T) *table { return &table{poison.NewTable(), t, start} }
 
-func (f *table) take(reports ...poison.Report) {
+func (f *table) apply(reports ...poison.Report) {
 	for _, r := range reports {
-		f.now = f.now.Add(between)
-		f.Take(f.now, r)
+		f.now = f.now.Add(reportInterval)
+		f.Apply(f.now, r)
 	}
 }
 
-// between is the time between two reports: that of a caller that comes again.
-const between = 600 * time.Millisecond
+// reportInterval is the time reportInterval two reports: that reportInterval two attempts of a caller.
+const reportInterval = 600 * time.Millisecond
 
-func (f *table) expectHeld(body string, want bool) {
+func (f *table) expectBlocked(body string, want bool) {
 	f.t.Helper()
-	if _, held := f.Held(f.now, print(body)); held != want {
-		f.t.Errorf("%q is held back: %v", body, held)
+	if _, held := f.Blocked(f.now, fingerprint(body)); held != want {
+		f.t.Errorf("%q is blocked: %v", body, held)
 	}
 }
 
-func TestThirdEndHoldsBack(t *testing.T) {
+func TestThirdCrashBlocks(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k", "a"), ended(2, "k", "b"))
-	f.expectHeld("k", false)
-	f.take(ended(3, "k", "c"))
-	f.expectHeld("k", true)
+	f.apply(crashReport(1, "k", "a"), crashReport(2, "k", "b"))
+	f.expectBlocked("k", false)
+	f.apply(crashReport(3, "k", "c"))
+	f.expectBlocked("k", true)
 	for _, other := range []string{"a", "b", "c"} {
-		f.expectHeld(other, false)
+		f.expectBlocked(other, false)
 	}
-	v, _ := f.Held(f.now, print("k"))
+	v, _ := f.Blocked(f.now, fingerprint("k"))
 	if v.Number != 1 || v.Service != "llm" || len(v.Servers) != 3 {
-		t.Errorf("the verdict is %+v", v)
+		t.Errorf("unexpected verdict %+v", v)
 	}
 }
 
-// TestOneEndCountsOnce: several routers report an end, each with the requests that it
-// had there, and some of them twice.
-func TestOneEndCountsOnce(t *testing.T) {
+// Guards against counting one crash several times: several routers report it, each with the
+// requests that it had there, and some of them twice.
+func TestCrashIsCountedOnce(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(1, "k", "a"), ended(1, "k"), ended(2, "k"), ended(2, "a", "k"))
-	f.expectHeld("k", false)
-	if n := f.Ends(print("k")); n != 2 {
-		t.Errorf("%d ends", n)
+	f.apply(crashReport(1, "k"), crashReport(1, "k", "a"), crashReport(1, "k"), crashReport(2, "k"), crashReport(2, "a", "k"))
+	f.expectBlocked("k", false)
+	if n := f.Crashes(fingerprint("k")); n != 2 {
+		t.Errorf("%d crashes", n)
 	}
 }
 
-// TestServersWithoutAStartAreToldApartByTime: one server under one id ends three times,
-// and each time two routers see it.
-func TestServersWithoutAStartAreToldApartByTime(t *testing.T) {
+// Guards against crashes that are merged or counted twice if the server reports no start time:
+// one server id crashes three times, and two routers observe each crash.
+func TestCrashesWithoutStartTimeAreDistinguishedByTime(t *testing.T) {
 	f := newTable(t)
 	unknown := placement.Incarnation{ID: "s1"}
 	for range 3 {
-		f.take(poison.Report{Endings: []poison.Ending{{Server: unknown, Service: "llm", Requests: []poison.Fingerprint{print("k")}, Ago: between}}})
-		f.Take(f.now, poison.Report{Endings: []poison.Ending{{Server: unknown, Service: "llm", Requests: []poison.Fingerprint{print("k"), print("a")}, Ago: between - 50*time.Millisecond}}})
+		f.apply(poison.Report{Crashes: []poison.Crash{{Server: unknown, Service: "llm", Requests: []poison.Fingerprint{fingerprint("k")}, Age: reportInterval}}})
+		f.Apply(f.now, poison.Report{Crashes: []poison.Crash{{Server: unknown, Service: "llm", Requests: []poison.Fingerprint{fingerprint("k"), fingerprint("a")}, Age: reportInterval - 50*time.Millisecond}}})
 		f.now = f.now.Add(3 * time.Second)
 	}
-	if n := f.Ends(print("k")); n != 3 {
-		t.Errorf("%d ends", n)
+	if n := f.Crashes(fingerprint("k")); n != 3 {
+		t.Errorf("%d crashes", n)
 	}
 }
 
-// TestRetriedBystanderIsNotHeldBack: a request that was retried twice onto servers that
-// the same other request ended has three ends as well; that one explains them.
-func TestRetriedBystanderIsNotHeldBack(t *testing.T) {
+// Guards against blocking a request that was retried twice onto servers that a poison request
+// crashed: it has three crashes too, but the other request explains them.
+func TestRetriedBystanderIsNotBlocked(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(2, "k", "a"), ended(3, "k", "a"), ended(4, "k", "a"))
-	f.expectHeld("k", true)
-	f.expectHeld("a", false)
+	f.apply(crashReport(1, "k"), crashReport(2, "k", "a"), crashReport(3, "k", "a"), crashReport(4, "k", "a"))
+	f.expectBlocked("k", true)
+	f.expectBlocked("a", false)
 }
 
-// TestInseparableRequestsWait: of two requests that were at the same ends nobody knows
-// which it was. The next end tells, or a good run of one.
-func TestInseparableRequestsWait(t *testing.T) {
+// Guards against blocking either of two requests that ran at the same crashes: the cause is
+// ambiguous until another crash, or a successful run of one of them.
+func TestAmbiguousRequestsAreNotBlocked(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k", "a"), ended(2, "k", "a"), ended(3, "k", "a"))
-	f.expectHeld("k", false)
-	f.expectHeld("a", false)
-	f.take(ended(4, "k"))
-	f.expectHeld("k", true)
-	f.expectHeld("a", false)
+	f.apply(crashReport(1, "k", "a"), crashReport(2, "k", "a"), crashReport(3, "k", "a"))
+	f.expectBlocked("k", false)
+	f.expectBlocked("a", false)
+	f.apply(crashReport(4, "k"))
+	f.expectBlocked("k", true)
+	f.expectBlocked("a", false)
 
 	f = newTable(t)
-	f.take(ended(1, "k", "a"), ended(2, "k", "a"), ended(3, "k", "a"), ran("llm", "a"))
-	f.expectHeld("k", true)
-	f.expectHeld("a", false)
+	f.apply(crashReport(1, "k", "a"), crashReport(2, "k", "a"), crashReport(3, "k", "a"), successReport("llm", "a"))
+	f.expectBlocked("k", true)
+	f.expectBlocked("a", false)
 }
 
-// TestInseparableRequestsDoNotWaitForEver: two that always come together are both held
-// back after five ends; a good run still clears the one that it was not.
-func TestInseparableRequestsDoNotWaitForEver(t *testing.T) {
+// Guards against ambiguous requests that are never blocked: two that always run together are
+// both blocked after five crashes, and a successful run still clears the harmless one.
+func TestAmbiguousRequestsAreBlockedAfterFiveCrashes(t *testing.T) {
 	f := newTable(t)
 	for n := range 5 {
-		f.take(ended(n, "k", "a"))
+		f.apply(crashReport(n, "k", "a"))
 	}
-	f.expectHeld("k", true)
-	f.expectHeld("a", true)
-	f.take(ran("llm", "a"))
-	f.expectHeld("k", true)
-	f.expectHeld("a", false)
+	f.expectBlocked("k", true)
+	f.expectBlocked("a", true)
+	f.apply(successReport("llm", "a"))
+	f.expectBlocked("k", true)
+	f.expectBlocked("a", false)
 }
 
-// TestGoodRunClears: also against a router that reports one of the ends only later.
-func TestGoodRunClears(t *testing.T) {
+// Guards against a cleared request that becomes a suspect again when another router reports
+// one of the crashes late.
+func TestSuccessfulRunClears(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(2, "k"), ran("llm", "k"), ended(2, "k"), ended(3, "k"), ended(4, "k"))
-	f.expectHeld("k", false)
-	f.take(ended(5, "k"))
-	f.expectHeld("k", true)
+	f.apply(crashReport(1, "k"), crashReport(2, "k"), successReport("llm", "k"), crashReport(2, "k"), crashReport(3, "k"), crashReport(4, "k"))
+	f.expectBlocked("k", false)
+	f.apply(crashReport(5, "k"))
+	f.expectBlocked("k", true)
 }
 
-// TestGoodRunElsewhereClearsNothing: a request may end the servers of one version of a
-// model and be served by another.
-func TestGoodRunElsewhereClearsNothing(t *testing.T) {
+// Guards against a successful run on another service that clears a request: a request may
+// crash the servers of one version of a model and succeed on another.
+func TestSuccessfulRunOnAnotherServiceClearsNothing(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(2, "k"), ran("new-llm", "k"), ended(3, "k"))
-	f.expectHeld("k", true)
-	f.take(ran("new-llm", "k"))
-	f.expectHeld("k", true)
-	f.take(ran("llm", "k"))
-	f.expectHeld("k", false)
+	f.apply(crashReport(1, "k"), crashReport(2, "k"), successReport("new-llm", "k"), crashReport(3, "k"))
+	f.expectBlocked("k", true)
+	f.apply(successReport("new-llm", "k"))
+	f.expectBlocked("k", true)
+	f.apply(successReport("llm", "k"))
+	f.expectBlocked("k", false)
 }
 
-// TestVerdictEndsAndOneEndRenewsIt: five servers end in all, however long the request
-// comes.
-func TestVerdictEndsAndOneEndRenewsIt(t *testing.T) {
+// Guards against a poison request that crashes servers without end: five servers crash in all,
+// however long it is repeated.
+func TestExpiredVerdictIsRenewedByOneCrash(t *testing.T) {
 	f := newTable(t)
 	servers := 0
-	for range 60 * 24 { // a day of the request each minute
-		if _, refused, _ := f.Admit(f.now, print("k")); !refused {
-			f.take(ended(servers, "k", fmt.Sprint("other ", servers)))
+	for range 60 * 24 { // the request arrives once a minute for a day
+		if _, refused, _ := f.Admit(f.now, fingerprint("k")); !refused {
+			f.apply(crashReport(servers, "k", fmt.Sprint("other ", servers)))
 			servers++
 		}
 		f.now = f.now.Add(time.Minute)
 		f.Expire(f.now)
 	}
 	if servers != 5 {
-		t.Errorf("%d servers ended", servers)
+		t.Errorf("%d servers crashed", servers)
 	}
 }
 
-// TestOneTrialAfterAHold: the fleet lets one run through at a time, whoever gets the
-// request.
-func TestOneTrialAfterAHold(t *testing.T) {
+// Guards against concurrent trial runs: the fleet admits one at a time, whichever router
+// receives the request.
+func TestOneTrialAfterABlockExpires(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(2, "k"), ended(3, "k"))
+	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
 	f.now = f.now.Add(2 * time.Minute)
 	other := newTable(t)
-	other.take(f.Snapshot(f.now), poison.Report{Verdicts: []poison.Verdict{{Request: print("k"), Number: 1, Service: "llm"}}})
-	if _, refused, trial := f.Admit(f.now, print("k")); refused || !trial {
-		t.Errorf("refused %v, trial %v after the hold", refused, trial)
+	other.apply(f.Snapshot(f.now), poison.Report{Verdicts: []poison.Verdict{{Request: fingerprint("k"), Number: 1, Service: "llm"}}})
+	if _, refused, trial := f.Admit(f.now, fingerprint("k")); refused || !trial {
+		t.Errorf("refused %v, trial %v after the block expired", refused, trial)
 	}
-	if _, refused, _ := f.Admit(f.now, print("k")); !refused {
-		t.Error("two runs at once at one router")
+	if _, refused, _ := f.Admit(f.now, fingerprint("k")); !refused {
+		t.Error("two concurrent trial runs at one router")
 	}
-	other.take(poison.Report{Trials: []poison.Fingerprint{print("k")}})
-	if v, refused, _ := other.Admit(other.now, print("k")); !refused || v.HeldFor <= 0 {
-		t.Errorf("two runs at once at two routers: %+v", v)
+	other.apply(poison.Report{Trials: []poison.Fingerprint{fingerprint("k")}})
+	if v, refused, _ := other.Admit(other.now, fingerprint("k")); !refused || v.Remaining <= 0 {
+		t.Errorf("two concurrent trial runs at two routers: %+v", v)
 	}
-	f.take(ran("llm", "k"))
-	if _, refused, trial := f.Admit(f.now, print("k")); refused || trial {
-		t.Errorf("refused %v, trial %v after a good run", refused, trial)
+	f.apply(successReport("llm", "k"))
+	if _, refused, trial := f.Admit(f.now, fingerprint("k")); refused || trial {
+		t.Errorf("refused %v, trial %v after a successful run", refused, trial)
 	}
 }
 
-// TestLiftedVerdictStaysLifted: the ends known so far do not bring it back, nor does a
-// router that has not heard of it.
+// Guards against a lifted verdict that returns because of crashes known at the time, or from a
+// router that has not received the lift.
 func TestLiftedVerdictStaysLifted(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(2, "k"), ended(3, "k"))
-	v, _ := f.Held(f.now, print("k"))
-	lift := poison.Report{Liftings: []poison.Lifting{{Request: print("k"), Number: v.Number}}}
-	f.take(lift, poison.Report{Verdicts: []poison.Verdict{v}}, ended(3, "k"), ended(4, "k"), ended(5, "k"))
-	f.expectHeld("k", false)
-	f.take(ended(6, "k"))
-	f.expectHeld("k", true)
-
-	f = newTable(t) // the lifting comes before the verdict
-	f.take(lift, poison.Report{Verdicts: []poison.Verdict{v}})
-	f.expectHeld("k", false)
+	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
+	v, _ := f.Blocked(f.now, fingerprint("k"))
+	lift := poison.Report{Lifts: []poison.Lift{{Request: fingerprint("k"), Number: v.Number}}}
+	f.apply(lift, poison.Report{Verdicts: []poison.Verdict{v}}, crashReport(3, "k"), crashReport(4, "k"), crashReport(5, "k"))
+	f.expectBlocked("k", false)
+	f.apply(crashReport(6, "k"))
+	f.expectBlocked("k", true)
+
+	f = newTable(t) // the lift arrives before the verdict
+	f.apply(lift, poison.Report{Verdicts: []poison.Verdict{v}})
+	f.expectBlocked("k", false)
 }
 
-// TestSnapshotTellsAll: a router that has just started knows what the others do, and
-// needs no more ends than they.
-func TestSnapshotTellsAll(t *testing.T) {
+// Guards against a router that needs more crashes for a verdict after its start than the
+// others do.
+func TestSnapshotIsComplete(t *testing.T) {
 	old, fresh := newTable(t), newTable(t)
-	old.take(ended(1, "k"), ended(2, "k"), ended(3, "k"), ended(4, "l", "a"), ended(5, "l", "b"))
-	fresh.take(old.Snapshot(old.now))
-	fresh.expectHeld("k", true)
-	fresh.take(ended(6, "l"))
-	fresh.expectHeld("l", true)
-	fresh.expectHeld("a", false)
+	old.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"), crashReport(4, "l", "a"), crashReport(5, "l", "b"))
+	fresh.apply(old.Snapshot(old.now))
+	fresh.expectBlocked("k", true)
+	fresh.apply(crashReport(6, "l"))
+	fresh.expectBlocked("l", true)
+	fresh.expectBlocked("a", false)
 }
 
-// TestVerdictOfOthersCounts: at a router that heard of none of the ends.
-func TestVerdictOfOthersCounts(t *testing.T) {
+// Guards against ignoring the verdict of another router where none of the crashes is known.
+func TestVerdictOfAnotherRouterApplies(t *testing.T) {
 	f := newTable(t)
-	f.take(poison.Report{Verdicts: []poison.Verdict{{Request: print("k"), Number: 1, Service: "llm", HeldFor: time.Minute}}})
-	f.expectHeld("k", true)
+	f.apply(poison.Report{Verdicts: []poison.Verdict{{Request: fingerprint("k"), Number: 1, Service: "llm", Remaining: time.Minute}}})
+	f.expectBlocked("k", true)
 	f.now = f.now.Add(2 * time.Minute)
-	f.expectHeld("k", false)
-	f.take(ended(9, "k"))
-	f.expectHeld("k", true)
+	f.expectBlocked("k", false)
+	f.apply(crashReport(9, "k"))
+	f.expectBlocked("k", true)
 }
 
-// TestMemoryIsBounded: a caller that makes new requests all the time, each at an end,
-// takes no more than 4 MB, and what is held back stays so.
+// Guards against unbounded memory: a caller that sends new requests at each crash takes no
+// more than 4 MB, and blocked requests stay blocked.
 func TestMemoryIsBounded(t *testing.T) {
 	f := newTable(t)
-	f.take(ended(1, "k"), ended(2, "k"), ended(3, "k"))
+	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -259,72 +260,72 @@
 		for i := range 64 {
 			bodies = append(bodies, fmt.Sprint(n, "/", i))
 		}
-		f.Take(f.now, ended(10+n, bodies...))
+		f.Apply(f.now, crashReport(10+n, bodies...))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	grown := int64(after.HeapAlloc) - int64(before.HeapAlloc)
-	t.Logf("%d requests known, %d KB", f.Suspects(), grown>>10)
+	t.Logf("%d requests on record, %d KB", f.Suspects(), grown>>10)
 	if grown > 4<<20 {
 		t.Errorf("%d bytes", grown)
 	}
-	f.expectHeld("k", true)
+	f.expectBlocked("k", true)
 }
 
-// TestNoVerdictWithoutPoison plays load on servers that end by themselves, far more than
-// servers do (one of eighteen every 2 s): alone, in groups, and in series of up to eight
-// of them, with requests that are retried by a router and then by their callers, some of
-// which meet again at the next server. A tenth of the requests are the same harmless one,
-// which leads to one server after the other. Among 320,000 requests it alone is held back
-// once, at the end of such a series, until one of its runs ends well.
+// Guards against verdicts without a poison request. It simulates servers that crash for other
+// reasons, far more often than real ones (one of eighteen every 2 s): alone, in groups, and in
+// series of up to eight, with requests that are retried by a router and then by their callers,
+// some of which share the next server. A tenth of the requests are the same harmless one,
+// which ends up on one server after the other. Among 320,000 requests it alone is blocked
+// once, at the end of such a series, until one of its runs succeeds.
 func TestNoVerdictWithoutPoison(t *testing.T) {
-	requests, verdicts, ends, refused := 0, 0, 0, 0
+	requests, verdicts, crashes, refused := 0, 0, 0, 0
 	for seed := range uint64(40) {
-		w := newWorld(seed)
+		w := newSimulation(seed)
 		for range 4000 {
 			w.step()
 		}
-		requests, verdicts, ends, refused = requests+w.requests, verdicts+w.verdicts, ends+w.ends, refused+w.refused
+		requests, verdicts, crashes, refused = requests+w.requests, verdicts+w.verdicts, crashes+w.crashes, refused+w.refused
 	}
-	t.Logf("%d requests, %d ends of servers, %d verdicts, %d requests refused", requests, ends, verdicts, refused)
+	t.Logf("%d requests, %d crashes, %d verdicts, %d requests refused", requests, crashes, verdicts, refused)
 	if verdicts > 1 || refused > requests/1000 {
 		t.Errorf("%d verdicts, %d requests refused", verdicts, refused)
 	}
 }
 
-// world is a service whose servers end by themselves.
-type world struct {
+// simulation is a service whose servers crash for other reasons than their requests.
+type simulation struct {
 	*poison.Table
-	rng            *rand.Rand
-	now            time.Time
-	running        [][]*job // by server
-	away           []int    // for so many more steps
-	wave           int      // servers that still end in this series
-	ids            int
-	requests, ends int
-	verdicts       int
-	refused        int
+	rng               *rand.Rand
+	now               time.Time
+	running           [][]*job // by server
+	downFor           []int    // remaining steps of downtime, by server
+	series            int      // remaining crashes of the current series
+	ids               int
+	requests, crashes int
+	verdicts          int
+	refused           int
 }
 
-// job is a request on its way.
+// job is a request in flight.
 type job struct {
-	body string
-	left int // steps until it is done
-	// tries are how often it may be sent anew: by the router and its caller.
+	body      string
+	remaining int // remaining steps
+	// tries is the number of retries left, by the router or its caller.
 	tries int
 }
 
-const worldServers = 18
+const simulatedServers = 18
 
-func newWorld(seed uint64) *world {
-	return &world{
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
 		Table: poison.NewTable(), rng: rand.New(rand.NewPCG(seed, 9)), now: start,
-		running: make([][]*job, worldServers), away: make([]int, worldServers),
+		running: make([][]*job, simulatedServers), downFor: make([]int, simulatedServers),
 	}
 }
 
-// step is 20 ms.
-func (w *world) step() {
+// step advances the simulation by 20 ms.
+func (w *simulation) step() {
 	w.now = w.now.Add(20 * time.Millisecond)
 	for range w.rng.IntN(5) {
 		w.requests++
@@ -332,59 +333,59 @@
 		if w.rng.IntN(10) == 0 {
 			body = "the same"
 		}
-		if _, refused, _ := w.Admit(w.now, print(body)); refused {
+		if _, refused, _ := w.Admit(w.now, fingerprint(body)); refused {
 			w.refused++
 			continue
 		}
-		w.send(&job{body: body, left: 5 + w.rng.IntN(200), tries: 3})
+		w.send(&job{body: body, remaining: 5 + w.rng.IntN(200), tries: 3})
 	}
 	if w.rng.IntN(400) == 0 {
-		w.wave = 1 + w.rng.IntN(8)
+		w.series = 1 + w.rng.IntN(8)
 	}
 	for n := range w.running {
-		if w.wave > 0 && w.away[n] == 0 && w.rng.IntN(4) == 0 {
-			w.wave--
-			w.end(n)
+		if w.series > 0 && w.downFor[n] == 0 && w.rng.IntN(4) == 0 {
+			w.series--
+			w.crash(n)
 		}
-		w.away[n] = max(w.away[n]-1, 0)
+		w.downFor[n] = max(w.downFor[n]-1, 0)
 		w.run(n)
 	}
 }
 
-// send sends a request to a server, as all those with its prompt: so some that lost a
-// server meet at the next one.
-func (w *world) send(j *job) {
-	for i := range worldServers {
-		n := (int(print(j.body)[0]%6) + i*5 + j.tries) % worldServers
-		if w.away[n] == 0 {
+// send places a request on the server that its content selects, so that some requests that
+// lost a server share the next one.
+func (w *simulation) send(j *job) {
+	for i := range simulatedServers {
+		n := (int(fingerprint(j.body)[0]%6) + i*5 + j.tries) % simulatedServers
+		if w.downFor[n] == 0 {
 			w.running[n] = append(w.running[n], j)
 			return
 		}
 	}
 }
 
-func (w *world) run(n int) {
+func (w *simulation) run(n int) {
 	left := w.running[n][:0]
 	for _, j := range w.running[n] {
-		if j.left--; j.left > 0 {
+		if j.remaining--; j.remaining > 0 {
 			left = append(left, j)
 			continue
 		}
-		w.Take(w.now, ran("llm", j.body))
+		w.Apply(w.now, successReport("llm", j.body))
 	}
 	w.running[n] = left
 }
 
-func (w *world) end(n int) {
-	w.ends++
+func (w *simulation) crash(n int) {
+	w.crashes++
 	w.ids++
 	jobs := w.running[n]
-	w.running[n], w.away[n] = nil, 100+w.rng.IntN(100)
+	w.running[n], w.downFor[n] = nil, 100+w.rng.IntN(100)
 	var bodies []string
 	for _, j := range jobs {
 		bodies = append(bodies, j.body)
 	}
-	_, verdicts := w.Take(w.now, ended(1000+w.ids, bodies...))
+	_, verdicts := w.Apply(w.now, crashReport(1000+w.ids, bodies...))
 	w.verdicts += len(verdicts)
 	for _, j := range jobs {
 		if j.tries--; j.tries >= 0 {
