--- a/controller/limits/fleet_test.go
+++ b/controller/limits/fleet_test.go
@@ -20,53 +20,53 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// The tests here play a fleet of routers before one backend server in virtual time, with
-// calls between routers that take some milliseconds, and routers that die, are paused or
-// are cut off.
+// The tests here simulate a fleet of routers in front of one backend server in virtual time,
+// with calls between routers that take some milliseconds, and routers that crash, are paused
+// or are partitioned from the others.
 const (
-	// oneWay is the longest delay between two routers, or a router and the server.
-	oneWay = 4 * time.Millisecond
-	// countedIn is the window in which requests are counted.
-	countedIn = 4 * time.Second
-	// enforcedAfter is how long after the limit was first named it must hold.
+	// maxDelay is the longest delay between two routers, or a router and the server.
+	maxDelay = 4 * time.Millisecond
+	// countWindow is the window in which requests are counted.
+	countWindow = 4 * time.Second
+	// enforcedAfter is the time after the limit was first named by which it must be enforced.
 	enforcedAfter = 3 * time.Second
-	// busy is the demand for the server, as a multiple of its limit.
-	busy = 3.0
+	// demandFactor is the demand for the server, as a multiple of its limit.
+	demandFactor = 3.0
 )
 
 var server = placement.Incarnation{ID: "s1", Started: 7}
 
 var errNoAnswer = errors.New("no answer")
 
-// world is the routers and the server.
-type world struct {
+// simulation holds the routers and the server.
+type simulation struct {
 	ctx context.Context
 
 	mu       sync.Mutex
 	rng      *rand.Rand
 	routers  []*router
-	limit    limiter.Rate // that the server names; 0: none
-	tries    map[limiter.Rank]int
+	limit    limiter.Rate // named by the server; 0: none
+	attempts map[limiter.Rank]int
 	arrivals []arrival
 }
 
-// arrival is a request at the server.
+// arrival is a request that reached the server.
 type arrival struct {
 	at     time.Time
 	router int
 	rank   limiter.Rank
 }
 
-// router is one router.
+// router is a simulated router.
 type router struct {
-	world  *world
+	sim    *simulation
 	number int
 	*limits.Controller
 	view *membership.View
-	// begun is when the present process started.
-	begun time.Time
-	stop  context.CancelFunc
-	// dead, paused and cut tell what is wrong with it.
+	// startedAt is when the current process started.
+	startedAt time.Time
+	stop      context.CancelFunc
+	// dead, cut and pausedUntil are the injected faults: crashed, partitioned, paused.
 	dead, cut   bool
 	pausedUntil time.Time
 }
@@ -77,11 +77,12 @@
 	return membership.Member{ID: idOf(n), Kind: "router", State: membership.Live}
 }
 
-// newWorld starts a fleet in which each router knows another one with a probability.
-func newWorld(ctx context.Context, seed uint64, routers int, knows float64) *world {
-	w := &world{ctx: ctx, tries: map[limiter.Rank]int{}, rng: rand.New(&sharedSource{source: rand.NewPCG(seed, 44)})}
+// newSimulation starts a fleet in which each router knows each other one with probability
+// knows.
+func newSimulation(ctx context.Context, seed uint64, routers int, knows float64) *simulation {
+	w := &simulation{ctx: ctx, attempts: map[limiter.Rank]int{}, rng: rand.New(&sharedSource{source: rand.NewPCG(seed, 44)})}
 	for n := range routers {
-		r := &router{world: w, number: n, view: membership.NewView(memberOf(n))}
+		r := &router{sim: w, number: n, view: membership.NewView(memberOf(n))}
 		for other := range routers {
 			if w.rng.Float64() < knows {
 				r.view.Add(memberOf(other))
@@ -97,8 +98,8 @@
 
 // start starts a process of a router.
 func (r *router) start(begun time.Time) {
-	ctx, cancel := context.WithCancel(r.world.ctx)
-	r.begun, r.stop, r.dead = begun, cancel, false
+	ctx, cancel := context.WithCancel(r.sim.ctx)
+	r.startedAt, r.stop, r.dead = begun, cancel, false
 	r.Controller = limits.New(limits.Options{
 		Self: idOf(r.number), Fleet: r, Log: zap.NewNop(),
 		Settled: func() bool { return time.Since(begun) >= 4*time.Second },
@@ -107,41 +108,41 @@
 	go r.Run(ctx)
 }
 
-// die ends the process.
-func (r *router) die() {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+// crash ends the process.
+func (r *router) crash() {
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	r.dead = true
 	r.stop()
 }
 
-// restart starts another process, which knows nothing.
+// restart starts a new process without any state.
 func (r *router) restart() {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	r.start(time.Now())
 }
 
 func (r *router) pause(d time.Duration) {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	r.pausedUntil = time.Now().Add(d)
 }
 
 func (r *router) setCut(cut bool) {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	r.cut = cut
 }
 
-// away is how long a router does not answer; false: it never will.
-func (r *router) away() (time.Duration, bool) {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+// unavailableFor returns how long a router does not answer; false: it never will.
+func (r *router) unavailableFor() (time.Duration, bool) {
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	return max(time.Until(r.pausedUntil), 0), !r.dead && !r.cut
 }
 
-// sharedSource is a source of random numbers for the goroutines of a run.
+// sharedSource is a random source that goroutines may share.
 type sharedSource struct {
 	mu     sync.Mutex
 	source rand.Source
@@ -154,23 +155,23 @@
 	return s.source.Uint64()
 }
 
-func (w *world) delay(most time.Duration) time.Duration {
+func (w *simulation) delay(most time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.rng.Int64N(int64(most)))
 }
 
-// called finds the router that a call goes to, after the delay of the way there.
-func (r *router) called(ctx context.Context, id string) (*limits.Controller, error) {
-	time.Sleep(r.world.delay(oneWay))
+// callee returns the router that a call goes to, after the network delay.
+func (r *router) callee(ctx context.Context, id string) (*limits.Controller, error) {
+	time.Sleep(r.sim.delay(maxDelay))
 	var other *router
-	for _, one := range r.world.routers {
+	for _, one := range r.sim.routers {
 		if idOf(one.number) == id {
 			other = one
 		}
 	}
-	pause, answers := other.away()
-	if _, connected := r.away(); !answers || !connected {
+	pause, answers := other.unavailableFor()
+	if _, connected := r.unavailableFor(); !answers || !connected {
 		pause = time.Hour
 	}
 	select {
@@ -181,29 +182,29 @@
 	if !answers {
 		return nil, errNoAnswer
 	}
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
-	return other.Controller, nil // that of the process which runs now
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
+	return other.Controller, nil // of the current process
 }
 
 func (r *router) Owners(id string) []string {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	return r.view.Owners("rate/"+id, limiter.OwnersAtMost)
 }
 
 func (r *router) Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
-	other, err := r.called(ctx, id)
+	other, err := r.callee(ctx, id)
 	if err != nil {
 		return nil, err
 	}
 	answer, err := other.OnPermit(ctx, req)
-	time.Sleep(r.world.delay(oneWay))
+	time.Sleep(r.sim.delay(maxDelay))
 	return answer, err
 }
 
 func (r *router) Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error) {
-	other, err := r.called(ctx, id)
+	other, err := r.callee(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -211,8 +212,8 @@
 }
 
 func (r *router) Listeners() []string {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	var ids []string
 	for _, m := range r.view.Members() {
 		if m.ID != idOf(r.number) {
@@ -224,50 +225,51 @@
 
 func (r *router) Peers() []string { return r.Listeners() }
 
-// try is one request of a caller; cold is what the server takes while it is cold.
-func (r *router) try(cold limiter.Rate, rank limiter.Rank) {
-	pause, _ := r.away()
+// sendRequest simulates one request of a caller; cold is the rate that the server takes while
+// it is cold, 0 if it is warm.
+func (r *router) sendRequest(cold limiter.Rate, rank limiter.Rank) {
+	pause, _ := r.unavailableFor()
 	time.Sleep(pause)
-	r.world.mu.Lock()
+	r.sim.mu.Lock()
 	c, dead := r.Controller, r.dead
-	r.world.tries[rank]++
-	r.world.mu.Unlock()
+	r.sim.attempts[rank]++
+	r.sim.mu.Unlock()
 	t := limits.Target{Server: server, Cold: cold, Rank: rank}
 	if dead || !c.Open(time.Now(), t) {
 		return
 	}
 	sent := time.Now()
-	p, ok := c.Admit(r.world.ctx, t)
+	p, ok := c.Admit(r.sim.ctx, t)
 	if !ok || !c.Valid(time.Now(), t, p) {
 		return
 	}
-	time.Sleep(r.world.delay(oneWay))
-	named := r.world.arrived(r.number, rank)
-	time.Sleep(r.world.delay(oneWay))
+	time.Sleep(r.sim.delay(maxDelay))
+	named := r.sim.recordArrival(r.number, rank)
+	time.Sleep(r.sim.delay(maxDelay))
 	c.Observe(limiter.Observation{Server: server, Named: named > 0, Rate: named, Sent: sent, Received: time.Now()})
 }
 
-// arrived notes a request at the server and returns the limit that its answer names.
-func (w *world) arrived(router int, rank limiter.Rank) limiter.Rate {
+// recordArrival records a request at the server and returns the limit that its answer names.
+func (w *simulation) recordArrival(router int, rank limiter.Rank) limiter.Rate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.arrivals = append(w.arrivals, arrival{time.Now(), router, rank})
 	return w.limit
 }
 
-func (w *world) setLimit(rate limiter.Rate) {
+func (w *simulation) setLimit(rate limiter.Rate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = rate
 }
 
-// load sends requests at so many a second, unevenly over the routers, for a time.
-func (w *world) load(perSecond float64, lasts time.Duration, cold limiter.Rate) {
+// load sends requests at a rate for a time, unevenly distributed over the routers.
+func (w *simulation) load(perSecond float64, lasts time.Duration, cold limiter.Rate) {
 	w.loadOf(0, perSecond, lasts, cold)
 }
 
-// loadOf does so with requests of a rank.
-func (w *world) loadOf(rank limiter.Rank, perSecond float64, lasts time.Duration, cold limiter.Rate) {
+// loadOf does the same with requests of a rank.
+func (w *simulation) loadOf(rank limiter.Rank, perSecond float64, lasts time.Duration, cold limiter.Rate) {
 	total := 0.0
 	for n := range w.routers {
 		total += 1 / float64(n+1)
@@ -282,15 +284,15 @@
 				if !time.Now().Before(end) {
 					return
 				}
-				go w.routers[number].try(cold, rank)
+				go w.routers[number].sendRequest(cold, rank)
 			}
 		}()
 	}
 	time.Sleep(lasts)
 }
 
-// between returns the arrivals between two times.
-func (w *world) between(from, to time.Time) (times []time.Time) {
+// arrivalsBetween returns the arrivals in [from, to).
+func (w *simulation) arrivalsBetween(from, to time.Time) (times []time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.arrivals {
@@ -301,8 +303,8 @@
 	return times
 }
 
-// most is the largest number of times within a window.
-func most(times []time.Time, window time.Duration) (n int) {
+// maxInWindow returns the largest number of times within a window.
+func maxInWindow(times []time.Time, window time.Duration) (n int) {
 	first := 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= window {
@@ -313,29 +315,29 @@
 	return n
 }
 
-// play runs a test in virtual time.
-func play(t *testing.T, body func(ctx context.Context)) {
+// runVirtual runs a test in virtual time.
+func runVirtual(t *testing.T, body func(ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
 			cancel()
-			time.Sleep(2 * time.Hour) // calls of routers that are gone end
+			time.Sleep(2 * time.Hour) // lets calls to crashed routers end
 		}()
 		body(ctx)
 	})
 }
 
-// Guards against routers that learn a limit late or enforce it each by itself, and against
-// limits that go unused or are enforced when they have ended.
+// Guards against routers that learn a limit late or enforce it each on its own, and against
+// limits that are underused or still enforced after they ended.
 func TestLimitIsEnforcedUsedAndEnded(t *testing.T) {
 	for _, c := range []struct {
 		routers int
 		limit   limiter.Rate
 	}{{6, 1.2}, {6, 8}, {87, 1.6}, {87, 8}, {87, 0.4}, {300, 1.2}, {300, 30}} {
 		t.Run(fmt.Sprintf("%d routers, limit %g", c.routers, c.limit), func(t *testing.T) {
-			play(t, func(ctx context.Context) {
-				w := newWorld(ctx, 7, c.routers, 1)
-				demand := busy * max(float64(c.limit), 2)
+			runVirtual(t, func(ctx context.Context) {
+				w := newSimulation(ctx, 7, c.routers, 1)
+				demand := demandFactor * max(float64(c.limit), 2)
 				w.load(demand, 5*time.Second, 0)
 				w.setLimit(c.limit)
 				named := time.Now()
@@ -344,19 +346,19 @@
 				w.setLimit(0)
 				w.load(demand, 6*time.Second, 0)
 
-				held := w.between(named.Add(enforcedAfter), ended)
+				held := w.arrivalsBetween(named.Add(enforcedAfter), ended)
 				windows := c.limit.Windows()
-				allowed := max(int(float64(c.limit)*countedIn.Seconds()), windows[0].Requests)
+				allowed := max(int(float64(c.limit)*countWindow.Seconds()), windows[0].Requests)
 				if c.limit < 1 {
 					allowed++ // whole requests
 				}
-				if n := most(held, countedIn); n > allowed {
-					t.Errorf("%d requests in %s at %g a second", n, countedIn, c.limit)
+				if n := maxInWindow(held, countWindow); n > allowed {
+					t.Errorf("%d requests in %s at %g a second", n, countWindow, c.limit)
 				}
 				if use := float64(len(held)) / ended.Sub(named.Add(enforcedAfter)).Seconds() / float64(c.limit); use < 0.6 {
 					t.Errorf("%.2f of the limit used", use)
 				}
-				if n := float64(len(w.between(ended.Add(3*time.Second), time.Now()))) / 3; n < demand/2 {
+				if n := float64(len(w.arrivalsBetween(ended.Add(3*time.Second), time.Now()))) / 3; n < demand/2 {
 					t.Errorf("%.1f requests a second 3 s after the limit ended, of %.1f", n, demand)
 				}
 				for _, r := range w.routers {
@@ -371,21 +373,22 @@
 
 // The bound of a cold server in a second, as a deployment sets it.
 const (
+	// The rate of a cold server and its bound in one second, as a deployment sets them.
 	coldRate  limiter.Rate = 9.9
 	coldBound              = 1.5*9.9 + 5
 )
 
-// Guards against cold servers that get more than they take, at any size of the fleet, or
-// that are hardly used.
+// Guards against cold servers that receive more than they take, or hardly anything, at any
+// size of the fleet.
 func TestColdRateIsEnforcedAndUsed(t *testing.T) {
 	for _, routers := range []int{4, 7, 16, 87, 390} {
 		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
-			play(t, func(ctx context.Context) {
-				w := newWorld(ctx, 7, routers, 1)
+			runVirtual(t, func(ctx context.Context) {
+				w := newSimulation(ctx, 7, routers, 1)
 				const lasts = 10 * time.Second
-				w.load(busy*float64(coldRate), lasts, coldRate)
-				times := w.between(time.Time{}, time.Now())
-				if n := most(times, time.Second); float64(n) > coldBound {
+				w.load(demandFactor*float64(coldRate), lasts, coldRate)
+				times := w.arrivalsBetween(time.Time{}, time.Now())
+				if n := maxInWindow(times, time.Second); float64(n) > coldBound {
 					t.Errorf("%d requests within a second, %.2f are allowed", n, coldBound)
 				}
 				if use := float64(len(times)) / lasts.Seconds() / float64(coldRate); use < 0.8 {
@@ -396,12 +399,13 @@
 	}
 }
 
-// Guards against several owners of one share of a rate: routers know two thirds of each
-// other, processes die and others start in their place, and some are paused.
-func TestColdRateHoldsWhileRoutersComeAndGo(t *testing.T) {
+// Guards against several owners of one share of a rate: each router knows two thirds of the
+// others, processes crash and are restarted, and some are paused.
+func TestColdRateHoldsDuringRouterChurn(t *testing.T) {
 	const lasts = 8 * time.Second
 	for name, c := range map[string]struct {
-		// every is the longest time between two events, and use the least use of the rate.
+		// every is the longest time between two events, and use the minimum utilization of the
+		// rate.
 		every time.Duration
 		use   float64
 	}{
@@ -409,13 +413,13 @@
 		"all the time": {500 * time.Millisecond, 0},
 	} {
 		for seed := range uint64(30) {
-			play(t, func(ctx context.Context) {
+			runVirtual(t, func(ctx context.Context) {
 				routers := []int{7, 30, 87}[seed%3]
-				w := newWorld(ctx, seed, routers, 0.67)
-				go w.disturb(lasts, c.every)
-				w.load(3*busy*float64(coldRate), lasts, coldRate)
-				times := w.between(time.Time{}, time.Now())
-				if n := most(times, time.Second); float64(n) > coldBound {
+				w := newSimulation(ctx, seed, routers, 0.67)
+				go w.injectFaults(lasts, c.every)
+				w.load(3*demandFactor*float64(coldRate), lasts, coldRate)
+				times := w.arrivalsBetween(time.Time{}, time.Now())
+				if n := maxInWindow(times, time.Second); float64(n) > coldBound {
 					t.Errorf("%s, seed %d: %d requests within a second, %.2f are allowed", name, seed, n, coldBound)
 				}
 				if use := float64(len(times)) / lasts.Seconds() / float64(coldRate); use < c.use {
@@ -426,13 +430,14 @@
 	}
 }
 
-// disturb lets routers die, start anew, be paused and learn of others for a time.
-func (w *world) disturb(lasts, every time.Duration) {
+// injectFaults crashes, restarts and pauses routers, and lets them discover others, for a
+// time.
+func (w *simulation) injectFaults(lasts, every time.Duration) {
 	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(w.delay(every)) {
 		r := w.routers[w.delay(time.Duration(len(w.routers)))]
 		switch w.delay(4) {
 		case 0:
-			r.die()
+			r.crash()
 			r.restart()
 		case 1:
 			r.pause(w.delay(time.Second))
@@ -446,9 +451,9 @@
 
 // Guards against a router that refuses callers for seconds after its start where all servers
 // are limited, although the owners of their rates would grant it permits.
-func TestStartingRouterAsksTheOwners(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld(ctx, 7, 6, 1)
+func TestStartingRouterGetsPermits(t *testing.T) {
+	runVirtual(t, func(ctx context.Context) {
+		w := newSimulation(ctx, 7, 6, 1)
 		w.setLimit(8)
 		w.load(8, 2*time.Second, 0)
 		var started *router
@@ -457,16 +462,16 @@
 				started = r
 			}
 		}
-		started.die()
+		started.crash()
 		started.restart()
-		time.Sleep(time.Second) // it catches up with the limits
+		time.Sleep(time.Second) // for it to catch up with the limits
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
-			started.try(0, 0)
+			started.sendRequest(0, 0)
 		}
 		n := 0
 		for _, a := range w.arrivals {
-			if a.router == started.number && a.at.After(started.begun) {
+			if a.router == started.number && a.at.After(started.startedAt) {
 				n++
 			}
 		}
@@ -476,66 +481,66 @@
 	})
 }
 
-// Guards against a server with one owner that gets nothing until a restarted process of the
-// owner knows the other routers.
-func TestRestartedOwnerIsReplacedUntilItKnowsTheOthers(t *testing.T) {
-	play(t, func(ctx context.Context) {
-		w := newWorld(ctx, 7, 6, 1)
+// Guards against a server with one owner that receives no requests until the restarted owner
+// knows the other routers.
+func TestRestartedOwnerHasAFallback(t *testing.T) {
+	runVirtual(t, func(ctx context.Context) {
+		w := newSimulation(ctx, 7, 6, 1)
 		const limit limiter.Rate = 1.2
 		w.setLimit(limit)
-		w.load(busy*float64(limit), 6*time.Second, 0)
+		w.load(demandFactor*float64(limit), 6*time.Second, 0)
 		owner := w.routers[0].Owners(server.ID)[0]
 		for _, r := range w.routers {
 			if idOf(r.number) == owner {
-				r.die()
+				r.crash()
 				r.restart()
 			}
 		}
 		from := time.Now()
-		w.load(busy*float64(limit), 4*time.Second, 0)
-		if n := len(w.between(from, time.Now())); n < 2 {
+		w.load(demandFactor*float64(limit), 4*time.Second, 0)
+		if n := len(w.arrivalsBetween(from, time.Now())); n < 2 {
 			t.Errorf("%d requests in 4 s at %g a second", n, limit)
 		}
-		times := w.between(from.Add(-countedIn), time.Now())
-		if n := most(times, countedIn); float64(n) > 1.5*float64(limit)*countedIn.Seconds()+5 {
-			t.Errorf("%d requests in %s at %g a second", n, countedIn, limit)
+		times := w.arrivalsBetween(from.Add(-countWindow), time.Now())
+		if n := maxInWindow(times, countWindow); float64(n) > 1.5*float64(limit)*countWindow.Seconds()+5 {
+			t.Errorf("%d requests in %s at %g a second", n, countWindow, limit)
 		}
 	})
 }
 
-// Guards against a limit that is exceeded, or whose server is left alone, when the owner of
-// its rate dies, is paused or is cut off from the other routers.
+// Guards against a limit that is exceeded, or a server that receives no requests, when the
+// owner of its rate crashes, is paused or is partitioned from the other routers.
 func TestLimitHoldsWithoutItsOwner(t *testing.T) {
-	for name, strike := range map[string]func(*router){
-		"dies":    (*router).die,
+	for name, inject := range map[string]func(*router){
+		"dies":    (*router).crash,
 		"pauses":  func(r *router) { r.pause(5 * time.Second) },
 		"cut off": func(r *router) { r.setCut(true) },
 		"dies and starts anew": func(r *router) {
-			r.die()
+			r.crash()
 			r.restart()
 		},
 	} {
 		for _, routers := range []int{6, 87} {
 			for seed := range uint64(5) {
 				t.Run(fmt.Sprintf("%s, %d routers, seed %d", name, routers, seed), func(t *testing.T) {
-					play(t, func(ctx context.Context) {
-						w := newWorld(ctx, seed, routers, 1)
+					runVirtual(t, func(ctx context.Context) {
+						w := newSimulation(ctx, seed, routers, 1)
 						const limit limiter.Rate = 8
 						w.setLimit(limit)
-						w.load(busy*float64(limit), 6*time.Second, 0)
+						w.load(demandFactor*float64(limit), 6*time.Second, 0)
 						owner := w.routers[0].Owners(server.ID)[0]
 						for _, r := range w.routers {
 							if idOf(r.number) == owner {
-								strike(r)
+								inject(r)
 							}
 						}
 						from := time.Now()
-						w.load(busy*float64(limit), 10*time.Second, 0)
-						times := w.between(from.Add(-countedIn), time.Now())
-						if n := most(times, countedIn); float64(n) > 1.5*float64(limit)*countedIn.Seconds()+5 {
-							t.Errorf("%d requests in %s at %g a second", n, countedIn, limit)
+						w.load(demandFactor*float64(limit), 10*time.Second, 0)
+						times := w.arrivalsBetween(from.Add(-countWindow), time.Now())
+						if n := maxInWindow(times, countWindow); float64(n) > 1.5*float64(limit)*countWindow.Seconds()+5 {
+							t.Errorf("%d requests in %s at %g a second", n, countWindow, limit)
 						}
-						if n := len(w.between(from.Add(3*time.Second), time.Now())); float64(n)/7 < 0.3*float64(limit) {
+						if n := len(w.arrivalsBetween(from.Add(3*time.Second), time.Now())); float64(n)/7 < 0.3*float64(limit) {
 							t.Errorf("%.1f requests a second at %g a second", float64(n)/7, limit)
 						}
 					})
@@ -545,8 +550,8 @@
 	}
 }
 
-// Guards against urgent requests that are denied for less urgent ones, and against a rate
-// that lies still for urgent requests that do not come.
+// Guards against urgent requests that are denied in favour of less urgent ones, and against a
+// rate that is reserved for urgent requests that do not come.
 func TestUrgentRequestsGetTheRateFirst(t *testing.T) {
 	const limit limiter.Rate = 8
 	for _, c := range []struct {
@@ -559,8 +564,8 @@
 	} {
 		for _, routers := range []int{6, 87} {
 			t.Run(fmt.Sprintf("%s, %d routers", c.name, routers), func(t *testing.T) {
-				play(t, func(ctx context.Context) {
-					w := newWorld(ctx, 7, routers, 1)
+				runVirtual(t, func(ctx context.Context) {
+					w := newSimulation(ctx, 7, routers, 1)
 					w.setLimit(limit)
 					w.load(float64(limit), 4*time.Second, 0)
 					from := time.Now()
@@ -570,7 +575,7 @@
 						synctest.Wait()
 					}
 					w.loadOf(5, c.other*float64(limit), lasts, 0)
-					use := float64(len(w.between(from, time.Now()))) / lasts.Seconds() / float64(limit)
+					use := float64(len(w.arrivalsBetween(from, time.Now()))) / lasts.Seconds() / float64(limit)
 					if use < 0.6 {
 						t.Errorf("%.2f of the limit used", use)
 					}
@@ -591,13 +596,13 @@
 	}
 }
 
-// admittedOf returns the part of the requests of some ranks that reached the server.
-func (w *world) admittedOf(ranks ...limiter.Rank) float64 {
+// admittedOf returns the fraction of the requests of some ranks that reached the server.
+func (w *simulation) admittedOf(ranks ...limiter.Rank) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n, tries := 0, 0
 	for _, rank := range ranks {
-		tries += w.tries[rank]
+		tries += w.attempts[rank]
 	}
 	for _, a := range w.arrivals {
 		if slices.Contains(ranks, a.rank) {
--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -1,7 +1,6 @@
-// Package limits keeps the fleet within the request rates that backend servers take from
-// all routers together: it learns the limits that servers name in their answers, propagates
-// them to the other routers, and asks the owner of a server's rate for a permit for each
-// request.
+// Package limits enforces the request rates that backend servers accept from all routers
+// together: it learns the limits that servers name in their answers, propagates them to the
+// other routers, and asks an owner of a server's rate for a permit for each request.
 //
 // The decisions are in package limiter.
 package limits
@@ -23,116 +22,117 @@
 )
 
 const (
-	// askTimeout bounds the question for a permit: callers wait for it, and a permit must
-	// not come too late to be used.
-	askTimeout = limiter.PermitLife
-	// unansweredFor is how long a router that did not answer is not asked for permits.
-	unansweredFor = 2 * time.Second
-	// retryAfter is how long a server gets no request from this router after no owner
-	// answered, or after a router that was asked is no owner.
-	retryAfter = 250 * time.Millisecond
-	// askAtMost is how many other routers are asked for a permit for one request.
-	askAtMost = 3
-	// fallbacks is how many routers may grant permits in place of an only owner.
-	fallbacks = 2
-	// expireEvery is how often what is not needed any more is dropped.
-	expireEvery = time.Second
-	// noteEvery is the least time between two log lines about changed rates.
-	noteEvery = 100 * time.Millisecond
+	// permitTimeout bounds a request for a permit: callers wait for it, and a permit that
+	// comes later can no longer be used.
+	permitTimeout = limiter.PermitLife
+	// unansweredBackoff is how long a router that did not answer is not asked for permits.
+	unansweredBackoff = 2 * time.Second
+	// retryDelay is how long this router sends a server no request after no owner answered, or
+	// after the router that was asked turned out not to be an owner.
+	retryDelay = 250 * time.Millisecond
+	// maxOwnersAsked is how many routers are asked for a permit for one request.
+	maxOwnersAsked = 3
+	// maxFallbacks is how many routers may grant permits in place of an only owner.
+	maxFallbacks = 2
+	// expireInterval is the time between two scans for expired state.
+	expireInterval = time.Second
+	// changeLogInterval is the minimum time between two log lines about changed rates.
+	changeLogInterval = 100 * time.Millisecond
 )
 
 // Fleet are the other routers.
 type Fleet interface {
-	// Owners returns the first routers in the order of a server, the best first.
+	// Owners returns the routers ranked first for a server, in order of preference.
 	Owners(server string) []string
-	// Ask asks a router for a permit.
+	// Ask requests a permit from a router.
 	Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error)
-	// Report sends a router what this one knows of limits.
+	// Report sends a router the limits that this one knows.
 	Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error)
-	// Listeners are the routers that get each report, and Peers those that may be asked
-	// for all that they know, the best first.
+	// Listeners returns the routers that receive each report, and Peers those that may be
+	// asked for all that they know, in order of preference.
 	Listeners() []string
 	Peers() []string
 }
 
-// Options are what a controller works with.
+// Options configures a Controller.
 type Options struct {
 	// Self is the id of this router.
 	Self string
-	// Fleet may be nil: limits are then learnt and not enforced.
+	// Fleet may be nil: limits are then learnt but not enforced.
 	Fleet Fleet
-	// Settled tells whether this router knows the others. Until then it grants no permits.
+	// Settled reports whether this router knows the others. Until then it grants no permits.
 	Settled func() bool
-	// Runs tells whether a process is registered.
+	// Runs reports whether a process is registered.
 	Runs func(placement.Incarnation) bool
-	// Updated tells that relays send this router all reports, so that it asks no other router
-	// at its start; nil: none do.
+	// Updated reports whether relays send this router all reports, so that it asks no other
+	// router at its start; nil: none do.
 	Updated func() bool
-	// Driven tells that the owner calls Tick regularly, and CatchUp after each pause of the
+	// Driven is set if the owner calls Tick regularly, and CatchUp after each pause of the
 	// process.
 	Driven bool
 	Log    *zap.Logger
 }
 
-// Counts are what has happened since the start.
+// Counts are event counts since the start.
 type Counts struct {
-	// Granted and Denied are the requests of this router that got a permit and that did
-	// not, and Unanswered the questions for one that a router did not answer.
+	// Granted and Denied count the requests of this router that got a permit and that did not,
+	// and Unanswered the requests for a permit that a router did not answer.
 	Granted, Denied, Unanswered int64
 }
 
-// Controller is safe for concurrent use.
+// Controller learns, propagates and enforces the rate limits of servers. It is safe for
+// concurrent use.
 type Controller struct {
 	Options
 
-	expiredAt time.Time // by Tick
+	expiredAt time.Time // the last scan; used only by Tick
 
 	spread *spread.Spreader[limiter.Report]
-	// watching mirrors whether the table knows anything, so that answers cost nothing
-	// while no server names a limit.
+	// watching mirrors whether the table is non-empty, so that answers cost no lock while no
+	// server names a limit.
 	watching atomic.Bool
 
-	mu     sync.Mutex
-	table  *limiter.Table
-	ledger *limiter.Ledger
-	gate   *limiter.Gate
-	// unanswered is until when routers that did not answer are not asked, by id.
+	mu      sync.Mutex
+	table   *limiter.Table
+	ledger  *limiter.Ledger
+	denials *limiter.Gate
+	// unanswered holds, by id, until when a router that did not answer is not asked again.
 	unanswered map[string]time.Time
 	counts     Counts
-	lines      logs.Sparse
+	changeLog  logs.Sparse
 }
 
-// New returns a controller that knows no limit.
+// New returns a controller without limits.
 func New(o Options) *Controller {
 	c := &Controller{
 		Options:    o,
 		table:      limiter.NewTable(),
 		ledger:     limiter.NewLedger(),
-		gate:       limiter.NewGate(),
+		denials:    limiter.NewGate(),
 		unanswered: map[string]time.Time{},
 	}
-	spreading := spread.Options[limiter.Report]{Receive: c.Receive, Snapshot: c.snapshot, What: "rate limits", Log: o.Log}
+	options := spread.Options[limiter.Report]{Receive: c.Receive, Snapshot: c.snapshot, What: "rate limits", Log: o.Log}
 	if o.Fleet != nil {
-		spreading.Fleet = fleet{o.Fleet}
+		options.Fleet = spreadFleet{o.Fleet}
 	}
-	c.spread = spread.New(spreading)
+	c.spread = spread.New(options)
 	return c
 }
 
-// Run propagates limits and drops what is not needed any more until the context ends.
+// Run propagates limits and drops expired state until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	go c.spread.Run(ctx)
 	if !c.Driven {
 		go c.spread.NoticePauses(ctx)
-		go c.tickRegularly(ctx)
+		go c.runTicker(ctx)
 	}
 	c.CatchUp(ctx)
 	<-ctx.Done()
 }
 
-// tickRegularly ticks until the context ends.
-func (c *Controller) tickRegularly(ctx context.Context) {
-	ticker := time.NewTicker(expireEvery)
+// runTicker calls Tick every expireInterval until the context ends.
+func (c *Controller) runTicker(ctx context.Context) {
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -144,24 +144,24 @@
 	}
 }
 
-// Tick drops what is not needed any more. Call it a few times a second, if Run does not.
+// Tick drops expired state. The owner must call it a few times a second if Driven is set.
 func (c *Controller) Tick(now time.Time) {
-	if now.Sub(c.expiredAt) < expireEvery {
+	if now.Sub(c.expiredAt) < expireInterval {
 		return
 	}
 	c.expiredAt = now
 	c.expire(now)
 }
 
-// CatchUp asks other routers what is known, unless relays send it anyway.
+// CatchUp asks other routers for the limits that they know, unless relays send them anyway.
 func (c *Controller) CatchUp(ctx context.Context) {
 	if c.Updated == nil || !c.Updated() {
 		c.spread.CatchUp(ctx)
 	}
 }
 
-// expire drops what is known of processes that are gone, and permits and denials that are
-// long past. Runs is asked without the lock, since its owner asks this controller.
+// expire drops the state of processes that are gone, and expired permits and denials. It calls
+// Runs without the lock, since Runs' owner calls this controller.
 func (c *Controller) expire(now time.Time) {
 	c.mu.Lock()
 	known := c.table.Servers()
@@ -177,36 +177,35 @@
 	c.table.Expire(now, gone)
 	c.watching.Store(c.table.Len() > 0)
 	c.ledger.Expire(now)
-	c.gate.Expire(now)
+	c.denials.Expire(now)
 }
 
-// Observe takes what an answer told of the limit of its server.
+// Observe applies what an answer says about the limit of its server.
 func (c *Controller) Observe(o limiter.Observation) {
 	if !o.Named && !c.watching.Load() {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.take(o, "answer") {
+	if c.apply(o, "answer") {
 		c.spread.Send(limiter.NewReport(clock.Now(), o))
 	}
 }
 
-// Receive takes what another router reports.
+// Receive applies a report of another router.
 func (c *Controller) Receive(r limiter.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
 	for _, reported := range r.Observations {
-		if o := reported.At(now); c.take(o, "another router") {
+		if o := reported.At(now); c.apply(o, "another router") {
 			c.spread.Note(limiter.NewReport(now, o))
 		}
 	}
 }
 
-// take takes an observation and tells whether it changed a limit. It is called under the
-// lock.
-func (c *Controller) take(o limiter.Observation, source string) (changed bool) {
+// apply applies an observation and reports whether it changed a limit. The caller holds c.mu.
+func (c *Controller) apply(o limiter.Observation, source string) (changed bool) {
 	was, limited := c.table.Limit(o.Server)
 	if !c.table.Observe(o) {
 		return false
@@ -222,15 +221,15 @@
 	case !o.Named:
 		c.Log.Info("server rate limit ends", append(fields, zap.Float64("was_per_second", float64(was)))...)
 	default:
-		c.noteChange(append(fields, zap.Float64("per_second", float64(o.Rate)), zap.Float64("was_per_second", float64(was))))
+		c.logChange(append(fields, zap.Float64("per_second", float64(o.Rate)), zap.Float64("was_per_second", float64(was))))
 	}
 	return true
 }
 
-// noteChange logs a changed rate, unless a line was written just now: a server may name
-// another rate in each answer.
-func (c *Controller) noteChange(fields []zap.Field) {
-	if leftOut, due := c.lines.Due(clock.Now(), noteEvery); due {
+// logChange logs a changed rate at most once per changeLogInterval: a server may name a
+// different rate in each answer.
+func (c *Controller) logChange(fields []zap.Field) {
+	if leftOut, due := c.changeLog.Due(clock.Now(), changeLogInterval); due {
 		c.Log.Info("server rate limit changes", append(fields, zap.Int64("lines_left_out", leftOut))...)
 	}
 }
@@ -245,21 +244,22 @@
 // last entry.
 func (c *Controller) Since(seq int64) (limiter.Report, int64) { return c.spread.Since(seq) }
 
-// Limited returns the number of servers that name a limit.
+// Limited returns the number of servers with a limit in force.
 func (c *Controller) Limited() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.table.Limits())
 }
 
-// Counts returns what has happened since the start.
+// Counts returns the event counts since the start.
 func (c *Controller) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// OnReport answers another router that reports limits or asks for those known here.
+// OnReport handles a report of another router, and returns a snapshot if the request asks for
+// all.
 func (c *Controller) OnReport(_ context.Context, req *peer.LimitsRequest) (*peer.LimitsAnswer, error) {
 	c.Receive(req.Report)
 	if !req.All {
@@ -268,11 +268,11 @@
 	return &peer.LimitsAnswer{Report: c.snapshot()}, nil
 }
 
-// fleet is a Fleet for a spreader.
-type fleet struct{ Fleet }
+// spreadFleet adapts a Fleet to spread.Fleet.
+type spreadFleet struct{ Fleet }
 
 // Report implements spread.Fleet.
-func (f fleet) Report(ctx context.Context, id string, r limiter.Report, all bool) (limiter.Report, error) {
+func (f spreadFleet) Report(ctx context.Context, id string, r limiter.Report, all bool) (limiter.Report, error) {
 	answer, err := f.Fleet.Report(ctx, id, &peer.LimitsRequest{Report: r, All: all})
 	if err != nil {
 		return limiter.Report{}, err
--- a/controller/limits/over.go
+++ b/controller/limits/over.go
@@ -9,10 +9,10 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// ownerRole is the role by which routers are ranked as owners of a server's rate.
+// ownerRole is the key prefix by which routers are ranked as owners of a server's rate.
 const ownerRole = "rate/"
 
-// Over is a Fleet over the protocol between routers.
+// Over implements Fleet with calls to the other routers.
 type Over struct {
 	spread.Audience
 	Client *peer.Client
--- a/controller/limits/size_test.go
+++ b/controller/limits/size_test.go
@@ -9,8 +9,8 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// The bytes of a permit and of a report are part of the control traffic of a router, of
-// which 2 KB a second are allowed in steady state.
+// Guards against large messages: permits and reports are part of a router's control traffic,
+// which is limited to 2 KB a second in steady state.
 func TestMessagesAreSmall(t *testing.T) {
 	server := placement.Incarnation{ID: "i-5f3db56642", Started: time.Now().UnixMilli()}
 	for name, c := range map[string]struct {
