--- a/controller/limits/fleet_test.go
+++ b/controller/limits/fleet_test.go
@@ -190,7 +190,7 @@
 func (r *router) Owners(id string) []string {
 	r.sim.mu.Lock()
 	defer r.sim.mu.Unlock()
-	return r.view.Owners("rate/"+id, limiter.OwnersAtMost)
+	return r.view.Owners("rate/"+id, limiter.MaxOwners)
 }
 
 func (r *router) Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -95,7 +95,7 @@
 	mu      sync.Mutex
 	table   *limiter.Table
 	ledger  *limiter.Ledger
-	denials *limiter.Gate
+	denials *limiter.DenialCache
 	// unanswered holds, by id, until when a router that did not answer is not asked again.
 	unanswered map[string]time.Time
 	counts     Counts
@@ -108,7 +108,7 @@
 		Options:    o,
 		table:      limiter.NewTable(),
 		ledger:     limiter.NewLedger(),
-		denials:    limiter.NewGate(),
+		denials:    limiter.NewDenialCache(),
 		unanswered: map[string]time.Time{},
 	}
 	options := spread.Options[limiter.Report]{Receive: c.Receive, Snapshot: c.snapshot, What: "rate limits", Log: o.Log}
--- a/controller/limits/over.go
+++ b/controller/limits/over.go
@@ -22,7 +22,7 @@
 
 // Owners implements Fleet.
 func (o Over) Owners(server string) []string {
-	return o.Members.Owners(clock.Now(), ownerRole+server, limiter.OwnersAtMost)
+	return o.Members.Owners(clock.Now(), ownerRole+server, limiter.MaxOwners)
 }
 
 // Ask implements Fleet.
--- a/controller/limits/permits.go
+++ b/controller/limits/permits.go
@@ -210,7 +210,7 @@
 func (c *Controller) recordDenial(t Target, id string, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.denials.Close(t.Server, id, t.Rank, clock.Now().Add(wait))
+	c.denials.Add(t.Server, id, t.Rank, clock.Now().Add(wait))
 }
 
 // requestPermitFrom asks one owner, which may be this router.
--- a/controller/limits/size_test.go
+++ b/controller/limits/size_test.go
@@ -20,7 +20,7 @@
 		"request": {&peer.PermitRequest{Server: server, Rate: 1.2, Rank: 105}, 64},
 		"answer":  {&peer.PermitAnswer{Wait: 833 * time.Millisecond}, 32},
 		"report": {&peer.LimitsRequest{Report: limiter.Report{Observations: []limiter.Reported{
-			{Server: server, Named: true, Rate: 1.2, Ago: time.Second, Took: 80 * time.Millisecond},
+			{Server: server, Named: true, Rate: 1.2, Age: time.Second, ResponseTime: 80 * time.Millisecond},
 		}}}, 128},
 	} {
 		text, err := peer.Marshal(c.message)
--- a/limiter/ledger.go
+++ b/limiter/ledger.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// demandWindow is the time over which the demand of urgent requests is counted.
+	// demandWindow is the time over which the demand of each rank is counted.
 	demandWindow = 2 * time.Second
-	// demandMost bounds the requests that are counted for each server.
-	demandMost = 256
-	// urgentShare bounds the part of a rate that is kept for more urgent requests, so that
-	// the others are not starved.
-	urgentShare = 0.75
-	// urgentReserve is the number of permits in each window that are left for more urgent
-	// requests while such ask.
+	// maxDemandEvents bounds the requests that are counted for each server.
+	maxDemandEvents = 256
+	// maxUrgentShare bounds the part of a rate that is reserved for more urgent requests, so
+	// that the others are not starved.
+	maxUrgentShare = 0.75
+	// urgentReserve is the number of permits in each window that stay free for more urgent
+	// requests while there is demand from them.
 	urgentReserve = 1
 )
 
@@ -28,13 +28,13 @@
 	rank Rank
 }
 
-// account is what is recorded of a server.
+// account holds the recent events of a server.
 type account struct {
 	// granted are the permits and asked all requests for one, the oldest first.
 	granted, asked []event
 }
 
-// Ledger records the permits that a router granted, and who asked for them. It is not safe
+// Ledger records the permits that a router granted, and the requests for them. It is not safe
 // for concurrent use.
 type Ledger struct {
 	accounts map[placement.Incarnation]*account
@@ -43,9 +43,9 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{accounts: map[placement.Incarnation]*account{}} }
 
-// Wait returns how long from now the next permit for a server can be granted to a request
-// of a rank; 0: at once. More urgent requests have the rate that they asked for lately, up
-// to a share, and less urgent ones what they asked for of the rest.
+// Wait returns how long from now the next permit for a server can be granted to a request of a
+// rank; 0: at once. More urgent requests are guaranteed the rate of their recent demand, up to
+// maxUrgentShare, and less urgent ones their demand up to the rest.
 func (l *Ledger) Wait(now time.Time, server placement.Incarnation, rate Rate, rank Rank) time.Duration {
 	a := l.accounts[server]
 	if a == nil {
@@ -53,7 +53,7 @@
 	}
 	moreUrgent := func(other Rank) bool { return other < rank }
 	lessUrgent := func(other Rank) bool { return other > rank }
-	urgent, most := a.demand(now, moreUrgent), urgentShare*rate
+	urgent, most := a.demand(now, moreUrgent), maxUrgentShare*rate
 	rest := min(a.demand(now, lessUrgent), rate-most)
 	reserve := 0
 	if 0 < urgent && urgent < most {
@@ -61,16 +61,16 @@
 	}
 	wait := waitFor(now, a.granted, rate, reserve)
 	if urgent > 0 {
-		wait = max(wait, waitFor(now, without(a.granted, moreUrgent), rate-min(urgent, most), 0))
+		wait = max(wait, waitFor(now, excluding(a.granted, moreUrgent), rate-min(urgent, most), 0))
 	}
 	if rest > 0 {
-		wait = max(wait, waitFor(now, without(a.granted, lessUrgent), rate-rest, 0))
+		wait = max(wait, waitFor(now, excluding(a.granted, lessUrgent), rate-rest, 0))
 	}
 	return wait
 }
 
-// waitFor returns how long from now the windows of a rate hold no further permit beyond a
-// reserve. Windows of one request have none.
+// waitFor returns how long from now the windows of a rate have no permit left beyond a
+// reserve. Windows of one request have no reserve.
 func waitFor(now time.Time, granted []event, rate Rate, reserve int) (wait time.Duration) {
 	for _, w := range rate.Windows() {
 		allowed := max(w.Requests-reserve, 1)
@@ -78,13 +78,13 @@
 			continue
 		}
 		oldest := granted[len(granted)-allowed].at
-		wait = max(wait, oldest.Add(w.Length+margin).Sub(now))
+		wait = max(wait, oldest.Add(w.Length+deliveryMargin).Sub(now))
 	}
 	return wait
 }
 
-// without returns the events but those of some ranks.
-func without(events []event, ranks func(Rank) bool) (list []event) {
+// excluding returns the events except those of some ranks.
+func excluding(events []event, ranks func(Rank) bool) (list []event) {
 	for _, e := range events {
 		if !ranks(e.rank) {
 			list = append(list, e)
@@ -93,7 +93,7 @@
 	return list
 }
 
-// demand returns how many requests a second of some ranks asked lately.
+// demand returns the recent demand of some ranks, in requests a second.
 func (a *account) demand(now time.Time, ranks func(Rank) bool) Rate {
 	n := 0
 	for _, e := range a.asked {
@@ -104,14 +104,14 @@
 	return Rate(float64(n) / demandWindow.Seconds())
 }
 
-// Ask counts a request in the demand for a server. One that asks several owners counts at
-// the first.
+// Ask counts a request in the demand for a server. A request that asks several owners is
+// counted by the first.
 func (l *Ledger) Ask(now time.Time, server placement.Incarnation, rank Rank) {
-	a := l.of(server)
-	a.asked = lastOf(append(a.asked, event{now, rank}), demandMost)
+	a := l.accountFor(server)
+	a.asked = trimEvents(append(a.asked, event{now, rank}), maxDemandEvents)
 }
 
-func (l *Ledger) of(server placement.Incarnation) *account {
+func (l *Ledger) accountFor(server placement.Incarnation) *account {
 	a := l.accounts[server]
 	if a == nil {
 		a = &account{}
@@ -123,34 +123,34 @@
 // Grant grants a permit for a request to a server, or returns how long from now the next
 // one can be granted to a request of its rank.
 func (l *Ledger) Grant(now time.Time, server placement.Incarnation, rate Rate, rank Rank) (granted bool, wait time.Duration) {
-	a := l.of(server)
+	a := l.accountFor(server)
 	if wait = l.Wait(now, server, rate, rank); wait > 0 {
 		return false, wait
 	}
-	needed, _ := rate.remembers()
-	a.granted = lastOf(append(a.granted, event{now, rank}), max(needed, 2*enoughRequests))
+	needed, _ := rate.retention()
+	a.granted = trimEvents(append(a.granted, event{now, rank}), max(needed, 2*minWindowRequests))
 	return true, 0
 }
 
-// lastOf drops old events when there are more than twice as many as needed.
-func lastOf(events []event, needed int) []event {
+// trimEvents keeps the newest events if there are more than twice as many as needed.
+func trimEvents(events []event, needed int) []event {
 	if len(events) <= 2*needed {
 		return events
 	}
 	return append([]event(nil), events[len(events)-needed:]...)
 }
 
-// Expire drops the servers that no window holds any more.
+// Expire drops the servers without an event in any window.
 func (l *Ledger) Expire(now time.Time) {
-	_, longest := Rate(leastRate).remembers()
+	_, longest := Rate(minRate).retention()
 	for server, a := range l.accounts {
-		if isOver(now, a.granted, longest) && isOver(now, a.asked, demandWindow) {
+		if areExpired(now, a.granted, longest) && areExpired(now, a.asked, demandWindow) {
 			delete(l.accounts, server)
 		}
 	}
 }
 
-// isOver tells whether all events are longer ago than a time.
-func isOver(now time.Time, events []event, lasts time.Duration) bool {
+// areExpired reports whether all events are older than a time.
+func areExpired(now time.Time, events []event, lasts time.Duration) bool {
 	return len(events) == 0 || now.Sub(events[len(events)-1].at) > lasts
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -10,7 +10,7 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// Guards against rates that no window can enforce: 0, tiny, very large and odd ones.
+// Guards against rates that no window can enforce: 0, tiny, very large and fractional ones.
 func TestWindowsEnforceAnyRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := limiter.Rate(rapid.OneOf(rapid.Float64Range(0, 60), rapid.SampledFrom([]float64{0, 1e-300, 0.099, 1, 999.9, 1e12, 1e300})).Draw(t, "rate"))
@@ -25,16 +25,16 @@
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
-		if n := most(times, countedIn); float64(n) > max(float64(rate), 0.1)*countedIn.Seconds()+1 || rate >= 1 && n > allowed(rate) {
-			t.Fatalf("%d permits in %s at %g a second", n, countedIn, float64(rate))
+		if n := maxInWindow(times, countWindow); float64(n) > max(float64(rate), 0.1)*countWindow.Seconds()+1 || rate >= 1 && n > allowed(rate) {
+			t.Fatalf("%d permits in %s at %g a second", n, countWindow, float64(rate))
 		}
-		if n := most(times, time.Second); float64(n) > max(float64(rate), 0.1)+1 {
+		if n := maxInWindow(times, time.Second); float64(n) > max(float64(rate), 0.1)+1 {
 			t.Fatalf("%d permits in a second at %g a second", n, float64(rate))
 		}
 	})
 }
 
-// Guards against permits that are forgotten when a rate changes.
+// Guards against permits that are no longer counted when a rate changes.
 func TestLedgerHoldsWhileTheRateChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := limiter.NewLedger(), time.Unix(1000, 0)
@@ -54,13 +54,13 @@
 			l.Expire(now)
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 		}
-		if n := most(times, countedIn); highest >= 1 && n > allowed(highest) {
-			t.Fatalf("%d permits in %s at %g a second at the most", n, countedIn, float64(highest))
+		if n := maxInWindow(times, countWindow); highest >= 1 && n > allowed(highest) {
+			t.Fatalf("%d permits in %s at %g a second at the most", n, countWindow, float64(highest))
 		}
 	})
 }
 
-// Guards against requests of several ranks that together get more than the rate.
+// Guards against requests of several ranks that together exceed the rate.
 func TestRanksTogetherKeepTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := limiter.Rate(rapid.Float64Range(0.1, 12).Draw(t, "rate"))
@@ -82,7 +82,7 @@
 	})
 }
 
-// within counts the times in a window that ends now.
+// within returns the number of times in a window that ends now.
 func within(times []time.Time, now time.Time, window time.Duration) (n int) {
 	for _, at := range times {
 		if now.Sub(at) < window {
@@ -97,7 +97,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := limiter.Rate(rapid.Float64Range(0.1, 900).Draw(t, "rate"))
 		s := rate.Split(rapid.IntRange(1, 400).Draw(t, "routers"))
-		if s.Owners < 1 || s.Owners > limiter.OwnersAtMost {
+		if s.Owners < 1 || s.Owners > limiter.MaxOwners {
 			t.Fatalf("%d owners", s.Owners)
 		}
 		if sum := limiter.Rate(s.Owners) * s.Share; sum > rate*1.000001 || sum < 0.8*rate {
@@ -106,15 +106,14 @@
 	})
 }
 
-// answered is an observation of an answer that took from one time to another, in
-// milliseconds.
+// answered returns an observation of an answer, with the times in milliseconds.
 func answered(sent, received int, rate limiter.Rate) limiter.Observation {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	return limiter.Observation{Server: server, Named: rate > 0, Rate: rate, Sent: at(sent), Received: at(received)}
 }
 
-// Guards against an old answer, of this router's or reported by another one, that ends a
-// limit or brings an ended one back.
+// Guards against an old answer, observed here or reported by another router, that ends a limit
+// or restores one that has ended.
 func TestAnswersThatOvertakeEachOther(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -143,21 +142,20 @@
 	}
 }
 
-// Guards against a limit that holds for the next process of a server.
+// Guards against a limit that is applied to the next process of a server.
 func TestNewProcessHasNoLimit(t *testing.T) {
 	table := limiter.NewTable()
 	table.Observe(answered(0, 10, 2))
 	if _, limited := table.Limit(placement.Incarnation{ID: server.ID, Started: 9}); limited {
-		t.Error("the process of the same id has the limit of the one before")
+		t.Error("the new process has the limit of the previous one")
 	}
 }
 
-// Guards against observations that are lost or change their order on the way to another
-// router.
+// Guards against observations that are lost or reordered on the way to another router.
 func TestReportsKeepTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0).Add(time.Minute)
-		direct, told := limiter.NewTable(), limiter.NewTable()
+		direct, received := limiter.NewTable(), limiter.NewTable()
 		var report limiter.Report
 		end := 0
 		for range rapid.IntRange(1, 12).Draw(t, "answers") {
@@ -172,10 +170,10 @@
 			}
 		}
 		for _, r := range report.Aged(time.Second).Observations {
-			told.Observe(r.At(now.Add(time.Second)))
+			received.Observe(r.At(now.Add(time.Second)))
 		}
 		want, limited := direct.Limit(server)
-		if got, ok := told.Limit(server); ok != limited || ok && got != want {
+		if got, ok := received.Limit(server); ok != limited || ok && got != want {
 			t.Fatalf("told %g (%v), want %g (%v)", float64(got), ok, float64(want), limited)
 		}
 	})
--- a/limiter/report.go
+++ b/limiter/report.go
@@ -6,17 +6,17 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// Reported is an observation for another router, whose clock differs.
+// Reported is an observation in a form that is independent of the sender's clock.
 type Reported struct {
 	Server placement.Incarnation
 	Named  bool
 	Rate   Rate
-	// Ago is how long ago the answer was received, and Took how long before that its
-	// request was sent.
-	Ago, Took time.Duration
+	// Age is the time since the answer was received, and ResponseTime the time from sending
+	// the request to receiving its answer.
+	Age, ResponseTime time.Duration
 }
 
-// Report is what a router tells others of the limits of servers.
+// Report carries the limits of servers from one router to others.
 type Report struct{ Observations []Reported }
 
 // NewReport returns the report of one observation.
@@ -25,23 +25,23 @@
 }
 
 func (o Observation) reported(now time.Time) Reported {
-	return Reported{Server: o.Server, Named: o.Named, Rate: o.Rate, Ago: now.Sub(o.Received), Took: o.Received.Sub(o.Sent)}
+	return Reported{Server: o.Server, Named: o.Named, Rate: o.Rate, Age: now.Sub(o.Received), ResponseTime: o.Received.Sub(o.Sent)}
 }
 
-// At returns the observation by the clock of the router that received the report.
+// At returns the observation by the clock of the receiving router.
 func (r Reported) At(now time.Time) Observation {
-	received := now.Add(-r.Ago)
-	return Observation{Server: r.Server, Named: r.Named, Rate: r.Rate, Received: received, Sent: received.Add(-r.Took)}
+	received := now.Add(-r.Age)
+	return Observation{Server: r.Server, Named: r.Named, Rate: r.Rate, Received: received, Sent: received.Add(-r.ResponseTime)}
 }
 
-// IsEmpty tells whether a report holds nothing.
+// IsEmpty reports whether a report is empty.
 func (r Report) IsEmpty() bool { return len(r.Observations) == 0 }
 
-// Aged returns the report as it reads so much later.
+// Aged returns the report as of a later time.
 func (r Report) Aged(by time.Duration) Report {
 	aged := Report{Observations: make([]Reported, 0, len(r.Observations))}
 	for _, o := range r.Observations {
-		o.Ago += by
+		o.Age += by
 		aged.Observations = append(aged.Observations, o)
 	}
 	return aged
@@ -54,7 +54,7 @@
 	for _, list := range [][]Reported{r.Observations, other.Observations} {
 		for _, o := range list {
 			if at, ok := index[o.Server]; ok {
-				if o.Ago <= merged.Observations[at].Ago {
+				if o.Age <= merged.Observations[at].Age {
 					merged.Observations[at] = o
 				}
 				continue
--- a/limiter/table.go
+++ b/limiter/table.go
@@ -9,25 +9,25 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// rememberedFor is how long the end of a limit, and the limit of a process that is not
-// registered, are remembered: another router may report the limit late, or this one learn
-// of the process late.
-const rememberedFor = time.Minute
+// observationRetention is how long the end of a limit, and the limit of a process that is not
+// registered, are kept: another router may report the limit late, or this one may learn of the
+// process late.
+const observationRetention = time.Minute
 
-// Observation is what one answer told of the rate limit of its server.
+// Observation is what one answer says about the rate limit of its server.
 type Observation struct {
 	Server placement.Incarnation
-	// Named tells whether the answer named a limit, and Rate is the limit.
+	// Named is set if the answer named a limit, and Rate is the limit.
 	Named bool
 	Rate  Rate
-	// Sent is when the request was sent, and Received when its answer began to arrive.
-	// The server made the answer between the two.
+	// Sent is when the request was sent, and Received when its answer began to arrive. The
+	// server wrote the answer in between.
 	Sent, Received time.Time
 }
 
-// supersedes tells whether an observation replaces an earlier one. Answers overtake each
-// other: one without a limit ends it only if its request was sent after the limit had been
-// received, since the server may else have made it before it named the limit.
+// supersedes reports whether an observation replaces an earlier one. Answers may arrive out of
+// order: one without a limit ends the limit only if its request was sent after the limit had
+// been received, since the server may otherwise have written it before it named the limit.
 func (o Observation) supersedes(known Observation) bool {
 	switch {
 	case !o.Named:
@@ -39,8 +39,7 @@
 	}
 }
 
-// Table is what a router knows of the limits that servers name. It is not safe for
-// concurrent use.
+// Table holds the limits that servers name. It is not safe for concurrent use.
 type Table struct {
 	known map[placement.Incarnation]Observation
 }
@@ -48,7 +47,7 @@
 // NewTable returns a table without limits.
 func NewTable() *Table { return &Table{known: map[placement.Incarnation]Observation{}} }
 
-// Observe takes an observation and tells whether it changes a limit, begins or ends one.
+// Observe applies an observation and reports whether it changes, begins or ends a limit.
 func (t *Table) Observe(o Observation) (changed bool) {
 	known, ok := t.known[o.Server]
 	if !ok && !o.Named || ok && !o.supersedes(known) {
@@ -64,30 +63,29 @@
 	return known.Rate, ok && known.Named
 }
 
-// Len returns the number of servers that are known to name a limit or to have named one.
+// Len returns the number of servers on record, including those whose limit has ended.
 func (t *Table) Len() int { return len(t.known) }
 
-// Servers returns the processes that are known to name a limit or to have named one.
+// Servers returns the processes on record, including those whose limit has ended.
 func (t *Table) Servers() []placement.Incarnation {
 	return slices.Collect(maps.Keys(t.known))
 }
 
-// Expire drops what was observed long ago of processes that are gone, and the ends of
-// limits that are long past.
+// Expire drops old observations of processes that are gone, and limits that ended long ago.
 func (t *Table) Expire(now time.Time, gone []placement.Incarnation) {
 	for _, server := range gone {
-		if now.Sub(t.known[server].Received) > rememberedFor {
+		if now.Sub(t.known[server].Received) > observationRetention {
 			delete(t.known, server)
 		}
 	}
 	for server, o := range t.known {
-		if !o.Named && now.Sub(o.Received) > rememberedFor {
+		if !o.Named && now.Sub(o.Received) > observationRetention {
 			delete(t.known, server)
 		}
 	}
 }
 
-// Limits returns the observations of limits in force, in the order of the servers' ids.
+// Limits returns the observations of limits in force, ordered by server id.
 func (t *Table) Limits() []Observation {
 	var list []Observation
 	for _, o := range t.known {
@@ -99,7 +97,7 @@
 	return list
 }
 
-// Snapshot returns all that the table knows, as a report.
+// Snapshot returns the contents of the table as a report.
 func (t *Table) Snapshot(now time.Time) Report {
 	var r Report
 	for _, o := range t.known {
