--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -111,7 +111,7 @@
 		denials:    limiter.NewDenialCache(),
 		unanswered: map[string]time.Time{},
 	}
-	options := spread.Options[limiter.Report]{Receive: c.Receive, Snapshot: c.snapshot, What: "rate limits", Log: o.Log}
+	options := spread.Options[limiter.Report]{Receive: c.Receive, Snapshot: c.snapshot, Name: "rate limits", Log: o.Log}
 	if o.Fleet != nil {
 		options.Fleet = spreadFleet{o.Fleet}
 	}
@@ -123,7 +123,7 @@
 func (c *Controller) Run(ctx context.Context) {
 	go c.spread.Run(ctx)
 	if !c.Driven {
-		go c.spread.NoticePauses(ctx)
+		go c.spread.DetectPauses(ctx)
 		go c.runTicker(ctx)
 	}
 	c.CatchUp(ctx)
@@ -199,7 +199,7 @@
 	now := clock.Now()
 	for _, reported := range r.Observations {
 		if o := reported.At(now); c.apply(o, "another router") {
-			c.spread.Note(limiter.NewReport(now, o))
+			c.spread.Record(limiter.NewReport(now, o))
 		}
 	}
 }
--- a/controller/spread/audience.go
+++ b/controller/spread/audience.go
@@ -10,11 +10,11 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Audience are the routers that reports go to and come from.
+// Audience selects the routers that reports are sent to and requested from.
 type Audience struct {
 	Members *members.Controller
-	// RelayIDs returns the routers that all others ask for updates, in a fleet that is so
-	// large that not all get each report; nil: all do.
+	// RelayIDs returns the relays, which all other routers ask for updates, in a fleet that is
+	// too large to send each report to all; nil: reports go to all.
 	RelayIDs func() []string
 }
 
@@ -37,14 +37,15 @@
 	return a.RelayIDs()
 }
 
-// Peers implements Fleet: in a random order, since a fleet of hundreds may start at once.
+// Peers implements Fleet. The order is random, since a fleet of hundreds may start at once.
 func (a Audience) Peers() []string {
 	ids := a.Members.Others(clock.Now())
 	rand.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	return ids
 }
 
-// Call calls a method of a listed router; peer.ErrNotSent: there is none with that id.
+// Call calls a method of a listed router. It returns peer.ErrNotSent if there is none with
+// that id.
 func Call[Req, Resp any](ctx context.Context, a Audience, c *peer.Client, id, method string, req *Req) (*Resp, error) {
 	addr, ok := a.Members.Addr(id)
 	if !ok {
--- a/controller/spread/spread.go
+++ b/controller/spread/spread.go
@@ -1,6 +1,5 @@
-// Package spread propagates what a router observes to the other routers: to all of them in
-// a small fleet, and in a large one to those from which the others regularly ask for
-// updates.
+// Package spread propagates what a router observes to the other routers: to all of them in a
+// small fleet, and in a large one to the relays, which the others regularly ask for updates.
 package spread
 
 import (
@@ -15,122 +14,122 @@
 )
 
 const (
-	// sendEvery gathers the reports that are made within a moment.
-	sendEvery = 20 * time.Millisecond
+	// batchInterval is the time over which reports are batched before they are sent.
+	batchInterval = 20 * time.Millisecond
 	// callTimeout bounds a call to another router.
 	callTimeout = 400 * time.Millisecond
-	// resendEvery is how often a report is sent again to a router that did not take it, and
-	// resendFor until when. A router that is away for longer asks when it is back.
-	resendEvery = 500 * time.Millisecond
-	resendFor   = time.Minute
-	// askAtMost is how many routers are asked for what they know before this one goes on
+	// resendInterval is the delay before a report is sent again to a router that did not
+	// accept it, and resendTimeout is when this ends. A router that is unreachable for longer
+	// catches up when it is back.
+	resendInterval = 500 * time.Millisecond
+	resendTimeout  = time.Minute
+	// maxPeersAsked is how many routers are asked for a snapshot before this one proceeds
 	// without.
-	askAtMost = 3
-	// logged bounds the reports that are held for routers that ask for updates.
-	logged = 256
-	// beat is how often the process checks whether it was paused.
-	beat = 250 * time.Millisecond
+	maxPeersAsked = 3
+	// maxLogged bounds the reports that are kept for routers that ask for updates.
+	maxLogged = 256
+	// pauseCheckInterval is how often the process checks whether it was paused.
+	pauseCheckInterval = 250 * time.Millisecond
 )
 
-// Report is what is propagated.
+// Report is the type of the propagated reports.
 type Report[R any] interface {
-	// IsEmpty tells whether it holds nothing.
+	// IsEmpty reports whether the report is empty.
 	IsEmpty() bool
-	// Aged returns the report as it reads so much later.
+	// Aged returns the report as of a later time.
 	Aged(by time.Duration) R
-	// Merged returns a report that holds this one and a later one.
+	// Merged returns a report with the contents of this one and of a later one.
 	Merged(later R) R
 }
 
 // Fleet are the other routers.
 type Fleet[R any] interface {
-	// Report sends a report to a router. If all is set, it asks for all that the router
-	// knows.
+	// Report sends a report to a router, and asks for all that the router knows if all is set.
 	Report(ctx context.Context, id string, r R, all bool) (R, error)
-	// Listeners are the routers that get each report.
+	// Listeners returns the routers that receive each report.
 	Listeners() []string
-	// Peers are the routers that may be asked, the best first.
+	// Peers returns the routers that may be asked, in order of preference.
 	Peers() []string
 }
 
-// Options are what a spreader works with.
+// Options configures a Spreader.
 type Options[R Report[R]] struct {
-	// Fleet may be nil: there are no other routers then.
+	// Fleet may be nil if there are no other routers.
 	Fleet Fleet[R]
-	// Receive takes what another router reports.
+	// Receive applies the report of another router.
 	Receive func(R)
 	// Snapshot returns all that this router knows.
 	Snapshot func() R
-	// Trim bounds a report that waits for a router; nil: it is not bounded.
+	// Trim bounds a report that is queued for a router; nil: it is not bounded.
 	Trim func(R) R
-	// What names the reports in the log.
-	What string
+	// Name identifies the reports in the log.
+	Name string
 	Log  *zap.Logger
 }
 
-// dated is a report and when it was made.
-type dated[R Report[R]] struct {
+// timestamped is a report and when it was made.
+type timestamped[R Report[R]] struct {
 	report R
 	at     time.Time
 }
 
-// now returns the report as it reads now.
-func (d dated[R]) now() R { return d.report.Aged(clock.Since(d.at)) }
+// now returns the report as of now.
+func (d timestamped[R]) now() R { return d.report.Aged(clock.Since(d.at)) }
 
-// Spreader is safe for concurrent use.
+// Spreader batches, sends and logs reports. It is safe for concurrent use.
 type Spreader[R Report[R]] struct {
 	Options[R]
 
 	mu     sync.Mutex
-	outbox dated[R]
-	wake   chan struct{} // there is something in the outbox
-	// queues are the reports that wait for routers, by id. A router to which reports are
-	// being delivered has one, empty or not.
-	queues map[string]dated[R]
-	// log are the last reports, and last is the number of the last one.
-	log  []dated[R]
+	outbox timestamped[R]
+	wake   chan struct{} // signals that the outbox is not empty
+	// queues holds the reports queued for routers, by id. A router with a delivery in progress
+	// has one, empty or not.
+	queues map[string]timestamped[R]
+	// log holds the latest reports, and last is the number of the last one.
+	log  []timestamped[R]
 	last int64
 }
 
 // New returns a spreader.
 func New[R Report[R]](o Options[R]) *Spreader[R] {
-	return &Spreader[R]{Options: o, wake: make(chan struct{}, 1), queues: map[string]dated[R]{}}
+	return &Spreader[R]{Options: o, wake: make(chan struct{}, 1), queues: map[string]timestamped[R]{}}
 }
 
-// Run sends reports until the context ends. Unless the owner calls CatchUp after a pause of the
-// process, NoticePauses does.
+// Run sends reports until the context ends. It does not detect pauses of the process: the
+// owner either calls CatchUp after a pause or runs DetectPauses.
 func (s *Spreader[R]) Run(ctx context.Context) { s.sendAll(ctx) }
 
 // Send sends a report to the other routers.
 func (s *Spreader[R]) Send(r R) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(r)
-	s.outbox = dated[R]{s.outbox.now().Merged(r), clock.Now()}
+	s.appendLog(r)
+	s.outbox = timestamped[R]{s.outbox.now().Merged(r), clock.Now()}
 	select {
 	case s.wake <- struct{}{}:
-	default: // it is awake already
+	default: // a wake-up is already pending
 	}
 }
 
-// Note holds a report of another router for those that ask this one for updates.
-func (s *Spreader[R]) Note(r R) {
+// Record logs a report of another router for those that ask this one for updates.
+func (s *Spreader[R]) Record(r R) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(r)
+	s.appendLog(r)
 }
 
-// add puts a report into the log. It is called under the lock.
-func (s *Spreader[R]) add(r R) {
-	s.log = append(s.log, dated[R]{r, clock.Now()})
+// appendLog appends a report to the log. The caller holds s.mu.
+func (s *Spreader[R]) appendLog(r R) {
+	s.log = append(s.log, timestamped[R]{r, clock.Now()})
 	s.last++
-	if len(s.log) > logged {
+	if len(s.log) > maxLogged {
 		s.log = s.log[1:]
 	}
 }
 
-// Since returns the reports after number seq of the log, and the number of the last one.
-// Without that part of the log it returns all that this router knows.
+// Since returns the reports after number seq of the log, and the number of the last one. If
+// the log no longer reaches back to seq, it returns a snapshot instead.
 func (s *Spreader[R]) Since(seq int64) (R, int64) {
 	r, last, ok := s.since(seq)
 	if !ok {
@@ -152,7 +151,7 @@
 	return r, s.last, true
 }
 
-// sendAll delivers what is in the outbox to all listeners.
+// sendAll sends the contents of the outbox to all listeners, in batches.
 func (s *Spreader[R]) sendAll(ctx context.Context) {
 	for {
 		select {
@@ -160,13 +159,13 @@
 		case <-ctx.Done():
 			return
 		}
-		_ = wait.For(ctx, sendEvery)
+		_ = wait.For(ctx, batchInterval)
 		r := s.takeOutbox()
 		if s.Fleet == nil || r.IsEmpty() {
 			continue
 		}
 		for _, id := range s.Fleet.Listeners() {
-			if s.queue(id, r) {
+			if s.enqueue(id, r) {
 				go s.deliver(ctx, id)
 			}
 		}
@@ -177,13 +176,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.outbox.now()
-	s.outbox = dated[R]{}
+	s.outbox = timestamped[R]{}
 	return r
 }
 
-// queue adds a report to those that wait for a router, and tells whether nobody delivers
-// to it yet.
-func (s *Spreader[R]) queue(id string, r R) (first bool) {
+// enqueue adds a report to those queued for a router, and reports whether no delivery to it is
+// in progress.
+func (s *Spreader[R]) enqueue(id string, r R) (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, busy := s.queues[id]
@@ -191,12 +190,12 @@
 	if s.Trim != nil {
 		waiting = s.Trim(waiting)
 	}
-	s.queues[id] = dated[R]{waiting, clock.Now()}
+	s.queues[id] = timestamped[R]{waiting, clock.Now()}
 	return !busy
 }
 
-// next takes what waits for a router. If nothing does, its delivery is over.
-func (s *Spreader[R]) next(id string) (R, bool) {
+// dequeue takes the reports queued for a router. If there are none, its delivery ends.
+func (s *Spreader[R]) dequeue(id string) (R, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.queues[id].now()
@@ -204,39 +203,39 @@
 		delete(s.queues, id)
 		return r, false
 	}
-	s.queues[id] = dated[R]{}
+	s.queues[id] = timestamped[R]{}
 	return r, true
 }
 
-// deliver sends a router what waits for it until nothing does. One that does not answer may
-// be paused, or cut off for a while.
+// deliver sends a router its queued reports until there are none. It retries for
+// resendTimeout, since a router that does not answer may be paused or partitioned for a while.
 func (s *Spreader[R]) deliver(ctx context.Context, id string) {
-	end := clock.Now().Add(resendFor)
+	end := clock.Now().Add(resendTimeout)
 	for {
-		r, more := s.next(id)
+		r, more := s.dequeue(id)
 		if !more {
 			return
 		}
-		begun := clock.Now()
+		sentAt := clock.Now()
 		err := s.report(ctx, id, r)
 		if err == nil {
 			continue
 		}
-		s.queue(id, r.Aged(clock.Since(begun)))
+		s.enqueue(id, r.Aged(clock.Since(sentAt)))
 		if clock.Now().After(end) || ctx.Err() != nil {
 			s.abandon(id, err)
 			return
 		}
-		_ = wait.For(ctx, resendEvery)
+		_ = wait.For(ctx, resendInterval)
 	}
 }
 
-// abandon drops what waits for a router.
+// abandon drops the reports queued for a router.
 func (s *Spreader[R]) abandon(id string, cause error) {
 	s.mu.Lock()
 	delete(s.queues, id)
 	s.mu.Unlock()
-	s.Log.Info("report not delivered", zap.String("report", s.What), zap.String("router", id), zap.Error(cause))
+	s.Log.Info("report not delivered", zap.String("report", s.Name), zap.String("router", id), zap.Error(cause))
 }
 
 func (s *Spreader[R]) report(ctx context.Context, id string, r R) error {
@@ -253,7 +252,7 @@
 	}
 	var nothing R
 	peers := s.Fleet.Peers()
-	for _, id := range peers[:min(len(peers), askAtMost)] {
+	for _, id := range peers[:min(len(peers), maxPeersAsked)] {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		all, err := s.Fleet.Report(callCtx, id, nothing, true)
 		cancel()
@@ -261,17 +260,17 @@
 			s.Receive(all)
 			return
 		}
-		s.Log.Info("router not asked for its reports", zap.String("report", s.What), zap.String("router", id), zap.Error(err))
+		s.Log.Info("router did not return its reports", zap.String("report", s.Name), zap.String("router", id), zap.Error(err))
 	}
 }
 
-// NoticePauses catches up whenever the process or its machine was paused, until the context ends:
-// reports that were sent meanwhile may be lost.
-func (s *Spreader[R]) NoticePauses(ctx context.Context) {
+// DetectPauses calls CatchUp whenever the process or its machine was paused, until the context
+// ends: reports sent during the pause may be lost.
+func (s *Spreader[R]) DetectPauses(ctx context.Context) {
 	pauses := clock.NewPauses()
 	for ctx.Err() == nil {
-		_ = wait.For(ctx, beat)
-		if paused := pauses.Since(beat); paused > 0 {
+		_ = wait.For(ctx, pauseCheckInterval)
+		if paused := pauses.Since(pauseCheckInterval); paused > 0 {
 			s.Log.Info("process was paused", zap.Duration("for_ms", paused))
 			s.CatchUp(ctx)
 		}
--- a/controller/verdicts/propagate.go
+++ b/controller/verdicts/propagate.go
@@ -22,7 +22,7 @@
 			return c.table.Snapshot(clock.Now())
 		},
 		Trim: trimCrashes,
-		What: "poison requests",
+		Name: "poison requests",
 		Log:  c.Log,
 	}
 	if c.Fleet != nil {
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -113,7 +113,7 @@
 func (c *Controller) Run(ctx context.Context) {
 	go c.spread.Run(ctx)
 	if !c.PausesNoticed {
-		go c.spread.NoticePauses(ctx)
+		go c.spread.DetectPauses(ctx)
 	}
 	go c.writeVerdicts(ctx)
 	c.CatchUp(ctx)
@@ -231,7 +231,7 @@
 	if from.local {
 		c.spread.Send(added)
 	} else {
-		c.spread.Note(added)
+		c.spread.Record(added)
 	}
 }
 
