--- a/limiter/fleet_test.go
+++ b/limiter/fleet_test.go
@@ -51,12 +51,12 @@
 
 // singleOwner asks one owner for each permit.
 func singleOwner(sim *vtime.Sim, rate limiter.Rate) admission {
-	ledger, gates := limiter.NewLedger(), map[int]*limiter.DenialCache{}
+	ledger, denials := limiter.NewLedger(), map[int]*limiter.DenialCache{}
 	return func(router int, send func()) {
-		if gates[router] == nil {
-			gates[router] = limiter.NewDenialCache()
+		if denials[router] == nil {
+			denials[router] = limiter.NewDenialCache()
 		}
-		if gates[router].Wait(sim.Now, server, "owner", 0) > 0 {
+		if denials[router].Wait(sim.Now, server, "owner", 0) > 0 {
 			return
 		}
 		sim.After(time.Duration(sim.Rng.Int64N(int64(maxDelay))), func() {
@@ -66,7 +66,7 @@
 					send()
 					return
 				}
-				gates[router].Add(server, "owner", 0, sim.Now.Add(wait))
+				denials[router].Add(server, "owner", 0, sim.Now.Add(wait))
 			})
 		})
 	}
