--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -89,9 +89,9 @@
 func (s node) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
 	s.mu.Lock()
 	s.calls++
-	other, away := s.all[id], s.unreachable[id] || s.unreachable[s.id]
+	other, unreachable := s.all[id], s.unreachable[id] || s.unreachable[s.id]
 	s.mu.Unlock()
-	if away || other == nil {
+	if unreachable || other == nil {
 		return nil, errNoAnswer
 	}
 	return other.OnReport(ctx, req)
@@ -118,10 +118,10 @@
 	return b.calls
 }
 
-func (b *network) setUnreachable(id string, away bool) {
+func (b *network) setUnreachable(id string, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.unreachable[id] = away
+	b.unreachable[id] = unreachable
 }
 
 // join starts a router whose liveness checks find every server gone.
