--- a/controller/limits/over.go
+++ b/controller/limits/over.go
@@ -9,10 +9,10 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// ownerRole is the role by which routers are ranked as owners of a server's rate.
+// ownerRole is the key prefix by which routers are ranked as owners of a server's rate.
 const ownerRole = "rate/"
 
-// Over is a Fleet over the protocol between routers.
+// Over implements Fleet with calls to the other routers.
 type Over struct {
 	spread.Audience
 	Client *peer.Client
@@ -22,7 +22,7 @@
 
 // Owners implements Fleet.
 func (o Over) Owners(server string) []string {
-	return o.Members.Owners(clock.Now(), ownerRole+server, limiter.OwnersAtMost)
+	return o.Members.Owners(clock.Now(), ownerRole+server, limiter.MaxOwners)
 }
 
 // Ask implements Fleet.
--- a/controller/limits/size_test.go
+++ b/controller/limits/size_test.go
@@ -9,8 +9,8 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// The bytes of a permit and of a report are part of the control traffic of a router, of
-// which 2 KB a second are allowed in steady state.
+// Guards against large messages: permits and reports are part of a router's control traffic,
+// which is limited to 2 KB a second in steady state.
 func TestMessagesAreSmall(t *testing.T) {
 	server := placement.Incarnation{ID: "i-5f3db56642", Started: time.Now().UnixMilli()}
 	for name, c := range map[string]struct {
@@ -20,7 +20,7 @@
 		"request": {&peer.PermitRequest{Server: server, Rate: 1.2, Rank: 105}, 64},
 		"answer":  {&peer.PermitAnswer{Wait: 833 * time.Millisecond}, 32},
 		"report": {&peer.LimitsRequest{Report: limiter.Report{Observations: []limiter.Reported{
-			{Server: server, Named: true, Rate: 1.2, Ago: time.Second, Took: 80 * time.Millisecond},
+			{Server: server, Named: true, Rate: 1.2, Age: time.Second, ResponseTime: 80 * time.Millisecond},
 		}}}, 128},
 	} {
 		text, err := peer.Marshal(c.message)
