--- a/controller/registry/changes.go
+++ b/controller/registry/changes.go
@@ -9,41 +9,42 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// entry is a registration as it lies in the store.
+// entry is a registration as stored.
 type entry struct {
 	store.Object
-	// heard is when the store told it, to whichever router.
-	heard time.Time
-	// server is what it says; readable tells that it says anything.
+	// receivedAt is when the store sent this version to the first router that read it.
+	receivedAt time.Time
+	// server is the decoded registration. It is valid only if readable is set.
 	server   placement.Server
 	readable bool
 }
 
-// alike tells whether two versions of a registration say the same of the server, but for
-// how long it stays cold. A server renews its registration each second or so: told to
-// every router, the renewals of 3,000 servers would fill more than the link of a small
-// one.
-func (e entry) alike(other entry) bool {
+// sameState reports whether two versions of a registration describe the same server state,
+// ignoring the remaining warm-up time and the renewal count. Servers renew their
+// registrations about once a second: propagating the renewals of 3,000 servers to every
+// router would need more than the link of a small router.
+func (e entry) sameState(other entry) bool {
 	a, b := e.server, other.server
 	a.Cold, b.Cold = 0, 0
 	a.Renewals, b.Renewals = 0, 0
 	return e.readable && other.readable && a == b
 }
 
-// told is the entry for another router.
-func (e entry) told(now time.Time) changelog.Received {
-	return changelog.Received{Object: e.Object, Age: max(now.Sub(e.heard), 0)}
+// received returns the entry in the form that is sent to other routers.
+func (e entry) received(now time.Time) changelog.Received {
+	return changelog.Received{Object: e.Object, Age: max(now.Sub(e.receivedAt), 0)}
 }
 
-// Revision returns the store's revision up to which all changes are known; 0: none is.
+// Revision returns the store revision up to which all changes are known, or 0 before the
+// first list.
 func (c *Controller) Revision() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changes.Revision()
 }
 
-// Since returns the changes of registrations after a revision of the store, some at a time;
-// false: they are not held any more.
+// Since returns at most the given number of changes of registrations after a store revision,
+// or false if the change log no longer reaches back to it.
 func (c *Controller) Since(revision int64, most int) (changelog.Changes[changelog.Received], bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,20 +52,19 @@
 	changes := changelog.Changes[changelog.Received]{UpTo: entries.UpTo, More: entries.More}
 	now := clock.Now()
 	for _, e := range entries.Values {
-		changes.Values = append(changes.Values, e.told(now))
+		changes.Values = append(changes.Values, e.received(now))
 	}
 	return changes, held
 }
 
-// All returns all registrations in the order of their keys, and the revision up to which all
-// changes are in them.
+// All returns all registrations sorted by key, and the store revision that they reflect.
 func (c *Controller) All() (all []changelog.Received, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
 	all = make([]changelog.Received, 0, len(c.entries))
 	for _, e := range c.entries {
-		all = append(all, e.told(now))
+		all = append(all, e.received(now))
 	}
 	changelog.SortByKey(all)
 	return all, c.changes.Revision()
@@ -77,10 +77,11 @@
 	c.advance(revision)
 }
 
-// advance notes that all changes up to a revision were taken. It is called under the lock.
+// advance records that all changes up to a revision have been applied. The caller holds the
+// lock.
 func (c *Controller) advance(revision int64) {
 	if !c.listed {
-		return // only a list shows what there was before
+		return // changes alone don't show the registrations that existed before
 	}
 	c.changes.Advance(revision)
 	c.changes.Trim(len(c.entries))
--- a/controller/registry/cold.go
+++ b/controller/registry/cold.go
@@ -11,25 +11,25 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// Warmup is what the servers of a service take while they are cold.
+// Warmup limits the requests that the servers of a service accept while they are cold.
 type Warmup struct {
 	// Lasts is how long a server stays cold after its start.
 	Lasts time.Duration
-	// Rate is what a cold server takes from all routers together; 0: servers are never
-	// cold.
+	// Rate is the rate limit of a cold server for all routers together; 0 disables
+	// warm-up.
 	Rate limiter.Rate
 }
 
-// SetWarmups sets what the servers of each service take while they are cold.
+// SetWarmups sets the warm-up limits by service.
 func (c *Controller) SetWarmups(warmups map[string]Warmup) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.warmups = warmups
 }
 
-// noteCold notes how long a server stays cold, by what it said at a time, and tells whether that
-// is a change for other routers.
-func (c *Controller) noteCold(s placement.Server, heard time.Time) (changed bool) {
+// recordCold records until when a server stays cold, from a registration received at a given
+// time. It reports whether the change must be propagated to other routers.
+func (c *Controller) recordCold(s placement.Server, heard time.Time) (changed bool) {
 	if s.Cold <= 0 || !c.servers.SetCold(s.Incarnation(), heard.Add(s.Cold)) {
 		return false
 	}
@@ -38,10 +38,10 @@
 	return true
 }
 
-// SetEvacuated says which failure domains are evacuated: their servers get no request, also
-// none that was held for them. The servers of a domain that is used again may have become
-// cold meanwhile without having said so yet: they are taken for cold as long as one is
-// after a start.
+// SetEvacuated sets the evacuated failure domains. Their servers receive no requests, not
+// even requests that were already waiting for them. The servers of a restored domain may
+// have become cold without having reported it yet, so they are treated as cold for the
+// whole warm-up time.
 func (c *Controller) SetEvacuated(domains []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	c.servers.SetEvacuated(domains)
 }
 
-// Cold returns how many servers are known to be cold.
+// Cold returns the number of servers known to be cold.
 func (c *Controller) Cold() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/registry/cold_test.go
+++ b/controller/registry/cold_test.go
@@ -18,18 +18,18 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// alone is a fleet of one router, which owns the rates of all servers.
-type alone struct{ limits.Fleet }
+// singleRouter is a fleet of one router, which owns the rate limits of all servers.
+type singleRouter struct{ limits.Fleet }
 
-func (alone) Owners(string) []string { return []string{"self"} }
+func (singleRouter) Owners(string) []string { return []string{"self"} }
 
-// coldRate is what a cold server takes in the tests, in requests a second, for three
-// seconds.
+// coldRate is the rate limit of a cold server in the tests, in requests per second. The
+// warm-up lasts three seconds.
 const coldRate = 1
 
 func withCold(c *registry.Controller) {
 	c.SetLimits(limits.New(limits.Options{
-		Self: "self", Fleet: alone{}, Settled: func() bool { return true }, Runs: c.TakesWork, Log: zap.NewNop(),
+		Self: "self", Fleet: singleRouter{}, Settled: func() bool { return true }, Runs: c.TakesWork, Log: zap.NewNop(),
 	}))
 	c.SetWarmups(map[string]registry.Warmup{"svc": {Lasts: 3 * time.Second, Rate: coldRate}})
 }
@@ -39,8 +39,8 @@
 	return store.Object{Key: "servers/" + id, Version: version, Value: value}
 }
 
-// claims counts the requests that a registry lets through in a time, with tries without
-// end.
+// claims returns the number of requests that a registry admits within a period of
+// continuous attempts.
 func claims(c *registry.Controller, lasts time.Duration) (n int) {
 	for end := clock.Now().Add(lasts); clock.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		s, ok := c.Pick(placement.Query{Service: "svc", Affinity: rand.Uint64()})
@@ -55,9 +55,10 @@
 	return n
 }
 
-// TestColdServerGetsItsTurnsOnly: through its warming, and no more than that. Of two
-// requests a second one is this router's, since another one may not have been met.
-func TestColdServerGetsItsTurnsOnly(t *testing.T) {
+// Guards against a cold server that receives requests above its rate limit, or is still
+// limited after its warm-up. This router gets one of two requests per second, since there
+// may be another router that it has not met.
+func TestColdServerIsRateLimited(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		withCold(c)
 		c.Listed([]store.Object{coldEntry("a", 1, 3*time.Second)}, newest)
@@ -65,13 +66,13 @@
 			t.Errorf("%d requests in three seconds at %d a second", n, coldRate)
 		}
 		if n := claims(c, time.Second); n < 90 {
-			t.Errorf("%d requests in a second after its warming", n)
+			t.Errorf("%d requests in a second after its warm-up", n)
 		}
 	})
 }
 
-// Guards against a request that was admitted while its server was warm, and is sent when
-// the server is cold: it needs a permit.
+// Guards against a request that is admitted while its server is warm and sent without a
+// permit after the server has become cold.
 func TestRequestAdmittedBeforeAServerWentColdIsNotSent(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		withCold(c)
@@ -96,7 +97,8 @@
 	})
 }
 
-// TestWarmServersAreUsedBeforeColdOnes: what a cold server may not take goes elsewhere.
+// Guards against requests that are refused although a warm server could take those above
+// the rate limit of a cold one.
 func TestWarmServersAreUsedBeforeColdOnes(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		withCold(c)
@@ -107,8 +109,9 @@
 	})
 }
 
-// TestServersOfADomainThatIsUsedAgainAreTakenForCold: what they say of it comes later.
-func TestServersOfADomainThatIsUsedAgainAreTakenForCold(t *testing.T) {
+// Guards against full load on the servers of a restored failure domain before their
+// registrations report that they are cold.
+func TestServersOfARestoredDomainAreCold(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		withCold(c)
 		c.Listed([]store.Object{coldEntry("a", 1, 0)}, newest)
@@ -123,9 +126,9 @@
 	})
 }
 
-// TestRenewalsAreNotTold: a server writes its registration each second; the others hear
-// of it when it says something else of the server, or that it is cold.
-func TestRenewalsAreNotTold(t *testing.T) {
+// Guards against propagating every renewal. Servers renew their registrations each second;
+// other routers need only the versions that change the server's state or start a warm-up.
+func TestRenewalsAreNotPropagated(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{coldEntry("a", 1, 0), coldEntry("b", 2, 0)}, newest)
 		_, last := c.All()
@@ -134,7 +137,7 @@
 		}
 		c.Advanced(newest + 1)
 		if told, known := c.Since(last, 10); len(told.Values) > 0 || !known {
-			t.Errorf("told of %d renewals, known: %v", len(told.Values), known)
+			t.Errorf("%d renewals propagated, known: %v", len(told.Values), known)
 		}
 		c.Changed([]store.Object{coldEntry("a", 100, 3*time.Second)})
 		time.Sleep(time.Second)
@@ -143,7 +146,7 @@
 		changes, _ := c.Since(last, 10)
 		told := changes.Values
 		if len(told) != 2 || told[0].Version != 100 || told[1].Version != 102 {
-			t.Fatalf("told %+v", told)
+			t.Fatalf("propagated %+v", told)
 		}
 		if told[0].Age < time.Second || told[1].Age > 100*time.Millisecond {
 			t.Errorf("ages %v and %v", told[0].Age, told[1].Age)
@@ -151,14 +154,14 @@
 	})
 }
 
-// TestOldNewsOfAColdServerSaysThatItIsWarm: a router that starts is told registrations
-// that were written long ago.
-func TestOldNewsOfAColdServerSaysThatItIsWarm(t *testing.T) {
+// Guards against a router that starts and treats a server as cold because of a registration
+// that was written long ago.
+func TestOldRegistrationDoesNotMakeAServerCold(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		withCold(c)
 		c.TakeListed([]changelog.Received{{Object: coldEntry("a", 1, 3*time.Second), Age: 20 * time.Second}}, newest)
 		if n := c.Cold(); n != 0 {
-			t.Errorf("%d servers are taken for cold", n)
+			t.Errorf("%d servers are treated as cold", n)
 		}
 	})
 }
--- a/controller/registry/lapse_test.go
+++ b/controller/registry/lapse_test.go
@@ -10,10 +10,10 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// staffed is how many servers the tests of lapses begin with.
-const staffed = 10
+// serverCount is the number of servers at the start of the lapse tests.
+const serverCount = 10
 
-// registered are the registrations of servers s0 to s(n-1) with versions from first on.
+// registered returns the registrations of servers s0 to s(n-1), with versions starting at first.
 func registered(n int, first int64) (list []store.Object) {
 	for i := range n {
 		list = append(list, entry(fmt.Sprint("s", i), first+int64(i), false))
@@ -21,22 +21,22 @@
 	return list
 }
 
-// lost plays that a router loses the store for nine seconds and regains it.
-func lost(c *registry.Controller) {
-	c.Listed(registered(staffed, 1), staffed)
+// regainAfterOutage registers the servers and disconnects the router from the store for nine seconds.
+func regainAfterOutage(c *registry.Controller) {
+	c.Listed(registered(serverCount, 1), serverCount)
 	c.Lost()
 	time.Sleep(9 * time.Second)
 	c.Regained()
 }
 
-// TestServersThatLeftWhileRoutersWereCutOffGetNoRequest: the pattern is a fleet that is cut
-// off from a store that is well, and of which the first router to reach it again found 16 of
-// 160 servers missing. It kept them for 2.2 s as lapsed, where the bound on the eldest of
-// them was over. The versions of all the others stood as they were.
-func TestServersThatLeftWhileRoutersWereCutOffGetNoRequest(t *testing.T) {
+// Guards against requests to servers that stopped while the routers, and only they, were
+// disconnected from the store. The first router to reconnect found 16 of 160 servers missing
+// and kept them for 2.2 s as lapsed, although the time limit for the first of them had
+// passed and the versions of all others were unchanged.
+func TestServersThatLeftWhileRoutersWereDisconnectedGetNoRequest(t *testing.T) {
 	for name, answer := range map[string]func(*registry.Controller){
-		"by a list":         func(c *registry.Controller) { c.Listed(registered(staffed-2, 1), newest) },
-		"by another's list": func(c *registry.Controller) { c.TakeListed(heardOf(registered(staffed-2, 1)), newest) },
+		"by a list":         func(c *registry.Controller) { c.Listed(registered(serverCount-2, 1), newest) },
+		"by another's list": func(c *registry.Controller) { c.TakeListed(receivedFrom(registered(serverCount-2, 1)), newest) },
 		"by changes":        func(c *registry.Controller) { c.Changed([]store.Object{gone("s8"), gone("s9")}) },
 		"one change each": func(c *registry.Controller) {
 			c.Changed([]store.Object{gone("s8")})
@@ -47,50 +47,50 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(c *registry.Controller) {
-				lost(c)
+				regainAfterOutage(c)
 				answer(c)
 				for _, id := range []string{"s8", "s9"} {
 					if c.TakesWork(incarnationOf(id)) {
-						t.Errorf("%s has left and takes work", id)
+						t.Errorf("%s has left and still gets requests", id)
 					}
 				}
-				if n := c.Counts()["svc"]; n.Up+n.Leaving != staffed-2 {
-					t.Errorf("%+v, two of %d have left", n, staffed)
+				if n := c.Counts()["svc"]; n.Up+n.Leaving != serverCount-2 {
+					t.Errorf("%+v, two of %d have left", n, serverCount)
 				}
 			})
 		})
 	}
 }
 
-// TestServersThatLapsedAreKept: most registrations went together, and some or none of them
-// are back.
+// Guards against removing live servers after an outage of the store: most registrations
+// lapse at once, and some or none have returned when the router reads the store.
 func TestServersThatLapsedAreKept(t *testing.T) {
 	for name, answer := range map[string]func(*registry.Controller){
 		"none is back":          func(c *registry.Controller) { c.Listed(nil, newest) },
 		"three are back":        func(c *registry.Controller) { c.Listed(registered(3, 100), newest) },
 		"most are back":         func(c *registry.Controller) { c.Listed(registered(8, 100), newest) },
-		"by changes":            func(c *registry.Controller) { c.Changed(lapses(0, staffed)) },
-		"by changes, some back": func(c *registry.Controller) { c.Changed(append(lapses(0, staffed), registered(4, 100)...)) },
+		"by changes":            func(c *registry.Controller) { c.Changed(deletions(0, serverCount)) },
+		"by changes, some back": func(c *registry.Controller) { c.Changed(append(deletions(0, serverCount), registered(4, 100)...)) },
 		"after other changes": func(c *registry.Controller) {
 			c.Changed([]store.Object{entry("other", 50, true)})
 			c.Changed(nil)
-			c.Changed(lapses(0, staffed))
+			c.Changed(deletions(0, serverCount))
 		},
 		"told by another": func(c *registry.Controller) {
-			c.TakeChanged(heardOf(lapses(0, staffed)))
+			c.TakeChanged(receivedFrom(deletions(0, serverCount)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(c *registry.Controller) {
-				lost(c)
+				regainAfterOutage(c)
 				answer(c)
 				time.Sleep(2 * time.Second)
-				if count(c) != staffed {
+				if count(c) != serverCount {
 					t.Errorf("%d servers in use", count(c))
 				}
-				c.Changed(registered(staffed-1, 200))
+				c.Changed(registered(serverCount-1, 200))
 				time.Sleep(time.Second)
-				if count(c) != staffed-1 {
+				if count(c) != serverCount-1 {
 					t.Errorf("%d servers in use, one has not come back", count(c))
 				}
 			})
@@ -98,28 +98,28 @@
 	}
 }
 
-// TestServerThatGoesWhileTheStoreIsWellGetsNoRequest, however many go: nothing lapses where
-// nobody has lost the store.
-func TestServerThatGoesWhileTheStoreIsWellGetsNoRequest(t *testing.T) {
+// Guards against keeping deregistered servers, however many, while the store was available:
+// registrations lapse only in an outage.
+func TestServerDeregisteredWithoutAnOutageGetsNoRequest(t *testing.T) {
 	run(t, func(c *registry.Controller) {
-		c.Listed(registered(staffed, 1), staffed)
+		c.Listed(registered(serverCount, 1), serverCount)
 		time.Sleep(5 * time.Second)
-		c.Changed(lapses(0, 9))
+		c.Changed(deletions(0, 9))
 		if count(c) != 1 {
 			t.Errorf("%d servers in use, nine have left", count(c))
 		}
 	})
 }
 
-// lapses are the ends of registrations from s(from) on.
-func lapses(from, n int) (list []store.Object) {
+// deletions returns n deletions of registrations, starting with server s(from).
+func deletions(from, n int) (list []store.Object) {
 	for i := range n {
 		list = append(list, gone(fmt.Sprint("s", from+i)))
 	}
 	return list
 }
 
-// leaving are registrations that say that their servers leave.
+// leaving returns n registrations of leaving servers, starting with server s(from).
 func leaving(from, n int) (list []store.Object) {
 	for i := range n {
 		list = append(list, entry(fmt.Sprint("s", from+i), 100+int64(from+i), true))
@@ -127,7 +127,7 @@
 	return list
 }
 
-func heardOf(list []store.Object) (heard []changelog.Received) {
+func receivedFrom(list []store.Object) (heard []changelog.Received) {
 	for _, o := range list {
 		heard = append(heard, changelog.Received{Object: o})
 	}
--- a/controller/registry/notes_test.go
+++ b/controller/registry/log_limit_test.go
@@ -16,9 +16,9 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// Guards against a log that grows with the fleet: thousands of servers register and go, and the
-// lines about them are bounded by time, with the number of those that have none.
-func TestLinesAboutServersAreBounded(t *testing.T) {
+// Guards against a log that grows with the fleet: when thousands of servers register and
+// deregister, the log lines per time are bounded, and the suppressed ones are counted.
+func TestLogLinesAboutServersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const servers, span = 5000, 20 * time.Second
 		core, lines := observer.New(zapcore.InfoLevel)
@@ -41,7 +41,7 @@
 			told += l.ContextMap()["servers"].(int64)
 		}
 		if told < servers*3/4 {
-			t.Errorf("%d servers are counted in place of lines", told)
+			t.Errorf("%d servers are counted as suppressed", told)
 		}
 	})
 }
--- a/controller/registry/rates.go
+++ b/controller/registry/rates.go
@@ -10,27 +10,27 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// Limits enforce the rates that servers take from all routers together.
+// Limits enforces rate limits of servers across all routers.
 type Limits interface {
-	// Open tells whether a permit for a server is worth asking for, and Wait how long from
-	// now it is not.
+	// Open reports whether a permit for a server may be available now, and Wait how long it
+	// takes until one may be.
 	Open(now time.Time, t limits.Target) bool
 	Wait(now time.Time, t limits.Target) time.Duration
-	// Restricted tells whether a server takes requests at a limited rate.
+	// Restricted reports whether a server has a rate limit.
 	Restricted(t limits.Target) bool
-	// Admit gets a permit for a request to a server; false: there is none.
+	// Admit acquires a permit for a request to a server, or returns false.
 	Admit(ctx context.Context, t limits.Target) (limits.Permit, bool)
-	// Valid tells whether a request with a permit may be sent now.
+	// Valid reports whether a request with a permit may be sent now.
 	Valid(now time.Time, t limits.Target, p limits.Permit) bool
 }
 
-// SetLimits sets what enforces the rates of servers. Call it before the first registration
-// is taken; without it no rate is enforced.
+// SetLimits sets the rate limits to enforce. Call it before the first registration is
+// applied; without it no rate is limited.
 func (c *Controller) SetLimits(l Limits) { c.limits = l }
 
-// target returns what limits need to know of a request and a server. It is called under the
-// lock.
-func (c *Controller) target(s placement.Server, cold bool, rank int) limits.Target {
+// limitTarget returns the target of a rate limit for a request to a server. The caller holds
+// the lock.
+func (c *Controller) limitTarget(s placement.Server, cold bool, rank int) limits.Target {
 	t := limits.Target{Server: s.Incarnation(), Rank: limiter.Rank(rank)}
 	if cold {
 		t.Cold = c.warmups[s.Service].Rate
@@ -38,9 +38,10 @@
 	return t
 }
 
-// open tells whether a server may get a request by its rate. It is called under the lock.
-func (c *Controller) open(q placement.Query, s placement.Server, cold bool) bool {
-	switch t := c.target(s, cold, q.Rank); {
+// allowedByRate reports whether the rate limit of a server allows a request. The caller holds the
+// lock.
+func (c *Controller) allowedByRate(q placement.Query, s placement.Server, cold bool) bool {
+	switch t := c.limitTarget(s, cold, q.Rank); {
 	case c.limits == nil:
 		return true
 	case q.Unrestricted:
@@ -50,19 +51,19 @@
 	}
 }
 
-// Admit gets a permit for a request of a rank that is about to be sent to a server; false:
-// the server takes none now, and the request has to go elsewhere.
+// Admit acquires a permit for a request of the given rank to a server. It returns false if
+// the rate limit allows no request now and the request must go to another server.
 func (c *Controller) Admit(ctx context.Context, s placement.Server, rank int) (limits.Permit, bool) {
 	if c.limits == nil {
 		return limits.Permit{}, true
 	}
 	c.mu.Lock()
-	t := c.target(s, c.servers.IsCold(clock.Now(), s.Incarnation()), rank)
+	t := c.limitTarget(s, c.servers.IsCold(clock.Now(), s.Incarnation()), rank)
 	c.mu.Unlock()
 	return c.limits.Admit(ctx, t)
 }
 
-// Claim tells whether a request that was admitted may be sent now to the process that was
+// Claim reports whether an admitted request may be sent now to the server process that was
 // picked for it.
 func (c *Controller) Claim(s placement.Server, p limits.Permit) bool {
 	c.mu.Lock()
@@ -71,11 +72,11 @@
 	if !c.servers.MaySend(s.Incarnation()) {
 		return false
 	}
-	return c.limits == nil || c.limits.Valid(now, c.target(s, c.servers.IsCold(now, s.Incarnation()), 0), p)
+	return c.limits == nil || c.limits.Valid(now, c.limitTarget(s, c.servers.IsCold(now, s.Incarnation()), 0), p)
 }
 
-// NextPermit returns how long from now the next server of a service may get a request
-// again, where all that could are closed by their rates; false: none is.
+// NextPermit returns the time until a rate-limited server of a service may accept a request
+// again, or false if no candidate has a rate limit.
 func (c *Controller) NextPermit(q placement.Query) (wait time.Duration, limited bool) {
 	if c.limits == nil {
 		return 0, false
@@ -84,7 +85,7 @@
 	defer c.mu.Unlock()
 	q.Now = clock.Now()
 	q.Open = func(s placement.Server, cold bool) bool {
-		if left := c.limits.Wait(q.Now, c.target(s, cold, q.Rank)); !limited || left < wait {
+		if left := c.limits.Wait(q.Now, c.limitTarget(s, cold, q.Rank)); !limited || left < wait {
 			wait, limited = left, true
 		}
 		return false
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry keeps the router's knowledge of backend servers up to date:
-// from their registrations in the store, from other routers, and from how the
-// router's own requests end.
+// Package registry tracks backend servers from their registrations in the store,
+// from updates of other routers, and from the outcomes of the router's own
+// requests.
 package registry
 
 import (
@@ -22,78 +22,80 @@
 )
 
 const (
-	// goneFor is how long a deletion is remembered against routers that tell of
-	// the registration again; those are seconds behind.
-	goneFor = 10 * time.Minute
-	// tickEvery is how often missing and unreachable servers are looked at.
-	tickEvery = 250 * time.Millisecond
-	// probeEvery is how often a server that is down is tried, and probeTimeout
-	// how long its connection may take.
-	probeEvery   = 500 * time.Millisecond
-	probeTimeout = 250 * time.Millisecond
+	// deletionTTL is how long a deletion is remembered, so that an update of a stale
+	// router does not bring the registration back. Such routers lag by seconds.
+	deletionTTL = 10 * time.Minute
+	// tickInterval is the interval between checks of missing and ejected servers.
+	tickInterval = 250 * time.Millisecond
+	// probeInterval is the interval between probes of an ejected server, and
+	// probeTimeout bounds each connection attempt.
+	probeInterval = 500 * time.Millisecond
+	probeTimeout  = 250 * time.Millisecond
 )
 
-// Decode reads a registration.
+// Decode decodes a registration.
 type Decode func(id string, value []byte) (placement.Server, error)
 
-// deletion is the end of a registration.
-type deletion struct {
-	// version is the last one known of it.
+// tombstone records the deletion of a registration.
+type tombstone struct {
+	// version is the last known version of the registration.
 	version int64
 	at      time.Time
 }
 
-// Controller is safe for concurrent use. It implements follow.Handler.
+// Controller tracks the backend servers. It is safe for concurrent use. It
+// implements follow.Handler.
 type Controller struct {
 	decode Decode
 	pool   *upstream.Pool
 	log    *zap.Logger
 
-	mu       sync.Mutex
-	servers  *placement.Servers
-	rng      *rand.Rand
-	missing  map[string]time.Time // until when the server is kept
-	regained time.Time            // when what is known was current again
-	judged   bool                 // whether registrations have lapsed before that
-	lapsing  bool                 // they have
-	listed   bool
-	probedAt map[string]time.Time
-	// entries are the registrations by key, as they lie in the store, and gone
-	// the versions up to which registrations are known to be deleted.
-	entries map[string]entry
-	gone    map[string]deletion
-	changes changelog.Log[entry]
-	// slow are the servers that long prompts avoided at the last tick.
+	mu           sync.Mutex
+	servers      *placement.Servers
+	rng          *rand.Rand
+	missing      map[string]time.Time // until when each server without registration is kept
+	regainedAt   time.Time            // when the connection to the store was last regained
+	lapseChecked bool                 // whether the lapse check has been done since then
+	lapsed       bool                 // whether registrations lapsed in the last outage
+	listed       bool
+	probedAt     map[string]time.Time
+	// entries are the registrations by key, and tombstones the versions up to
+	// which registrations are known to be deleted.
+	entries    map[string]entry
+	tombstones map[string]tombstone
+	changes    changelog.Log[entry]
+	// slow are the servers that long prompts avoided at the last tick, with the
+	// time between events of their streams.
 	slow       map[string]time.Duration
 	unreadable unreadable
-	// warmups are what cold servers take, by service.
+	// warmups are the limits of cold servers, by service.
 	warmups map[string]Warmup
-	// limits is nil where no rate is enforced.
+	// limits is nil if no rate is limited.
 	limits    Limits
 	evacuated []string
-	notes     notes
+	lines     lineLimiter
 }
 
-// New returns a controller that knows no server.
+// New returns a controller without servers.
 func New(decode Decode, pool *upstream.Pool, rng *rand.Rand, log *zap.Logger) *Controller {
 	servers := placement.New()
 	servers.SetOrder(rand.Uint64())
 	return &Controller{
-		decode:   decode,
-		pool:     pool,
-		log:      log,
-		servers:  servers,
-		rng:      rng,
-		missing:  map[string]time.Time{},
-		probedAt: map[string]time.Time{},
-		entries:  map[string]entry{},
-		gone:     map[string]deletion{},
+		decode:     decode,
+		pool:       pool,
+		log:        log,
+		servers:    servers,
+		rng:        rng,
+		missing:    map[string]time.Time{},
+		probedAt:   map[string]time.Time{},
+		entries:    map[string]entry{},
+		tombstones: map[string]tombstone{},
 	}
 }
 
-// Run looks after missing and unreachable servers until the context ends.
+// Run calls Tick periodically until the context ends.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -106,30 +108,30 @@
 	}
 }
 
-// Tick drops missing servers and probes ejected ones. Call it a few times a second, if Run does
-// not.
+// Tick removes missing servers and probes ejected ones. Callers that don't use Run call it a
+// few times per second.
 func (c *Controller) Tick(ctx context.Context, now time.Time) {
 	c.mu.Lock()
-	c.dropMissing(now)
-	maps.DeleteFunc(c.gone, func(_ string, d deletion) bool { return now.Sub(d.at) > goneFor })
+	c.removeMissing(now)
+	maps.DeleteFunc(c.tombstones, func(_ string, d tombstone) bool { return now.Sub(d.at) > deletionTTL })
 	due := c.probesDue(now)
-	c.notePaces()
+	c.logSlowServers()
 	c.mu.Unlock()
 	for _, s := range due {
 		go c.probe(ctx, s)
 	}
-	c.pool.Sweep(now, c.keeps)
+	c.pool.Sweep(now, c.keepsConnections)
 }
 
-// keeps tells whether connections to a process are worth keeping.
-func (c *Controller) keeps(in placement.Incarnation) bool {
+// keepsConnections reports whether connections to a server process should stay open.
+func (c *Controller) keepsConnections(in placement.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers.Runs(in)
 }
 
-// notePaces logs which servers long prompts avoid from now on, or do not any more.
-func (c *Controller) notePaces() {
+// logSlowServers logs the servers that long prompts begin or cease to avoid.
+func (c *Controller) logSlowServers() {
 	slow := c.servers.Slow()
 	for id, pace := range slow {
 		if _, was := c.slow[id]; !was {
@@ -138,7 +140,7 @@
 	}
 	for id, pace := range c.slow {
 		if _, still := slow[id]; !still && c.servers.Has(id) {
-			c.log.Info("server not slow any more", zap.String("server", id), zap.Duration("pace_was_ms", pace))
+			c.log.Info("server no longer slow", zap.String("server", id), zap.Duration("pace_was_ms", pace))
 		}
 	}
 	c.slow = slow
@@ -147,7 +149,7 @@
 func (c *Controller) probesDue(now time.Time) []placement.Server {
 	var due []placement.Server
 	for _, s := range c.servers.Ejected() {
-		if now.Sub(c.probedAt[s.ID]) >= probeEvery {
+		if now.Sub(c.probedAt[s.ID]) >= probeInterval {
 			c.probedAt[s.ID] = now
 			due = append(due, s)
 		}
@@ -155,12 +157,12 @@
 	return due
 }
 
-// probe tries to connect to a server that is down.
+// probe tries to connect to an ejected server and restores it on success.
 func (c *Controller) probe(ctx context.Context, s placement.Server) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if err := c.pool.Probe(ctx, s.Address, s.Incarnation()); err != nil {
-		return // it stays down; the next probe is due in probeEvery
+		return // it stays ejected; the next probe follows after probeInterval
 	}
 	c.mu.Lock()
 	c.servers.Restored(s.Incarnation())
@@ -169,19 +171,18 @@
 	c.log.Info("server restored", zap.String("server", s.ID), zap.String("service", s.Service))
 }
 
-// read reads a registration; one that makes its reader panic cannot be read.
-func (c *Controller) read(o changelog.Received) (placement.Server, error) {
+// decodeEntry decodes a registration. A panic of the decoder is returned as an error.
+func (c *Controller) decodeEntry(o changelog.Received) (placement.Server, error) {
 	return guard.Call(func() (placement.Server, error) { return c.decode(store.NameOf(o.Key), o.Value) })
 }
 
-// Listed implements follow.Handler. What has changed after the list's revision
-// holds, whatever the list says: another router may tell a list that is older than
-// what is known here.
+// Listed implements follow.Handler. Entries newer than the list's revision stay
+// unchanged, since a list from another router may be older than the local state.
 func (c *Controller) Listed(objects []store.Object, revision int64) {
 	c.TakeListed(changelog.Fresh(objects), revision)
 }
 
-// TakeListed takes all registrations as another router has heard them.
+// TakeListed applies a list of all registrations from another router.
 func (c *Controller) TakeListed(objects []changelog.Received, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,21 +190,21 @@
 	for _, o := range objects {
 		present[o.Key] = o
 	}
-	if c.judgesLapse() {
-		c.judgeLapse(c.struckByList(present))
-		c.judged = true
+	if c.lapseCheckDue() {
+		c.checkLapse(c.lostInList(present))
+		c.lapseChecked = true
 	}
 	for _, o := range objects {
-		if !c.outdated(o.Object) {
-			c.put(o)
+		if !c.isOutdated(o.Object) {
+			c.apply(o)
 		}
 	}
 	for key, known := range c.entries {
 		if _, listed := present[key]; listed || known.Version > revision {
 			continue
 		}
-		c.forget(store.Object{Key: key}, revision)
-		c.absent(store.NameOf(key))
+		c.markDeleted(store.Object{Key: key}, revision)
+		c.handleMissing(store.NameOf(key))
 	}
 	if c.listed {
 		c.advance(revision)
@@ -211,29 +212,30 @@
 		c.changes.Reset(revision)
 		c.listed = true
 	}
-	c.endNotes()
+	c.logSuppressed()
 }
 
-// forget drops a registration that is gone. Another router may tell of it again later: what it
-// knew up to that version is void. absentAt is the revision of a list that lacks it, whose
-// readers may know a later version than this router; 0: it was deleted.
-func (c *Controller) forget(o store.Object, absentAt int64) {
+// markDeleted removes a deleted registration and remembers its last version, so that updates of
+// stale routers up to that version are ignored. absentAt is the revision of a list that lacks
+// the registration, or 0 for an explicit deletion; other readers of that list may know a later
+// version than this router.
+func (c *Controller) markDeleted(o store.Object, absentAt int64) {
 	known, had := c.entries[o.Key]
-	last := max(c.gone[o.Key].version, o.Version, known.Version)
-	c.gone[o.Key] = deletion{version: last, at: clock.Now()}
+	last := max(c.tombstones[o.Key].version, o.Version, known.Version)
+	c.tombstones[o.Key] = tombstone{version: last, at: clock.Now()}
 	if had {
 		delete(c.entries, o.Key)
-		c.changes.Add(o.Key, entry{Object: store.Object{Key: o.Key, Version: max(last, absentAt), Deleted: true}, heard: clock.Now()})
+		c.changes.Add(o.Key, entry{Object: store.Object{Key: o.Key, Version: max(last, absentAt), Deleted: true}, receivedAt: clock.Now()})
 	}
 }
 
-// outdated tells whether a registration or its deletion is older than what is
-// known here.
-func (c *Controller) outdated(o store.Object) bool {
+// isOutdated reports whether a registration or its deletion is older than the local
+// state.
+func (c *Controller) isOutdated(o store.Object) bool {
 	if o.Deleted {
 		return o.Version > 0 && o.Version < c.entries[o.Key].Version
 	}
-	return o.Version < c.entries[o.Key].Version || o.Version <= c.gone[o.Key].version
+	return o.Version < c.entries[o.Key].Version || o.Version <= c.tombstones[o.Key].version
 }
 
 // Changed implements follow.Handler.
@@ -245,70 +247,70 @@
 	c.Advanced(revision)
 }
 
-// TakeChanged takes changes as another router has heard them.
+// TakeChanged applies changes from another router.
 func (c *Controller) TakeChanged(objects []changelog.Received) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.judgesLapse() {
-		c.judgeLapse(struckByChanges(objects))
+	if c.lapseCheckDue() {
+		c.checkLapse(deletedKeys(objects))
 	}
 	for _, o := range objects {
-		if c.outdated(o.Object) {
-			continue // from a router that knows less
+		if c.isOutdated(o.Object) {
+			continue // from a router that is behind
 		}
 		if o.Deleted {
-			c.forget(o.Object, 0)
-			c.absent(store.NameOf(o.Key))
+			c.markDeleted(o.Object, 0)
+			c.handleMissing(store.NameOf(o.Key))
 			continue
 		}
-		c.put(o)
+		c.apply(o)
 	}
-	c.endNotes()
+	c.logSuppressed()
 }
 
-// Lost implements follow.Handler. What is known stays in use.
+// Lost implements follow.Handler. Known servers stay in use.
 func (c *Controller) Lost() {}
 
-// put takes a registration. One that cannot be read names no server, whatever stood
-// there before: its process is not used until it has registered anew.
-func (c *Controller) put(o changelog.Received) {
+// apply applies a registration. A registration that cannot be decoded removes the server that
+// it replaces, until that server registers again.
+func (c *Controller) apply(o changelog.Received) {
 	id := store.NameOf(o.Key)
 	known, had := c.entries[o.Key]
 	if had && o.Version == known.Version && c.servers.Has(id) {
 		delete(c.missing, id)
-		return // it says what is known
+		return // this version is already applied
 	}
-	next := entry{Object: o.Object, heard: clock.Now().Add(-o.Age)}
-	s, err := c.read(o)
+	next := entry{Object: o.Object, receivedAt: clock.Now().Add(-o.Age)}
+	s, err := c.decodeEntry(o)
 	next.server, next.readable = s, err == nil
 	renewed := o.Version != known.Version
 	c.entries[o.Key] = next
 	delete(c.missing, id)
-	if renewed && (!had || !next.alike(known)) {
+	if renewed && (!had || !next.sameState(known)) {
 		c.changes.Add(o.Key, next)
 	}
 	if err != nil {
 		c.servers.Remove(id)
 		if renewed {
-			c.unreadable.note(c.log, clock.Now(), o.Object, err)
+			c.unreadable.record(c.log, clock.Now(), o.Object, err)
 		}
 		return
 	}
-	c.note(s, o.Version)
+	c.logRegistered(s, o.Version)
 	c.servers.Put(s)
-	if renewed && c.noteCold(s, next.heard) && had && next.alike(known) {
+	if renewed && c.recordCold(s, next.receivedAt) && had && next.sameState(known) {
 		c.changes.Add(o.Key, next)
 	}
 }
 
-// Unreadable returns how many registrations could not be read so far.
+// Unreadable returns the number of registrations so far that could not be decoded.
 func (c *Controller) Unreadable() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unreadable.count
 }
 
-// Ready tells whether the servers are known.
+// Ready reports whether a list of the servers has been read.
 func (c *Controller) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -320,7 +322,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.Now = clock.Now()
-	q.Open = func(s placement.Server, cold bool) bool { return c.open(q, s, cold) }
+	q.Open = func(s placement.Server, cold bool) bool { return c.allowedByRate(q, s, cold) }
 	s, ok := c.servers.Pick(c.rng, q)
 	if ok {
 		c.servers.Sent(s.Incarnation(), q.Tokens)
@@ -328,22 +330,22 @@
 	return s, ok
 }
 
-// TakesWork tells whether a process runs and has not said that it leaves.
+// TakesWork reports whether a server process runs and is not leaving.
 func (c *Controller) TakesWork(in placement.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers.TakesWork(in)
 }
 
-// Read tells that a server has read the prompt of a request, or will not any
-// more.
+// Read records that a server has processed the prompt of a request, or will no
+// longer process it.
 func (c *Controller) Read(in placement.Incarnation, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.servers.Read(in, tokens)
 }
 
-// Released takes back the choice of a process for a request that was not sent.
+// Released undoes Pick for a request that was not sent.
 func (c *Controller) Released(in placement.Incarnation, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -351,14 +353,14 @@
 	c.servers.Ended(in, placement.Neutral)
 }
 
-// Paced notes the time between two events of a stream.
+// Paced records the time between two events of a stream.
 func (c *Controller) Paced(in placement.Incarnation, gap time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.servers.Paced(in, gap)
 }
 
-// Ended counts the end of a request at a server.
+// Ended records the outcome of a request to a server process.
 func (c *Controller) Ended(in placement.Incarnation, outcome placement.Outcome) {
 	c.mu.Lock()
 	was := c.servers.IsEjected(in)
@@ -369,7 +371,7 @@
 	}
 }
 
-// Replaced tells that another server answers at the address of this one.
+// Replaced records that another server now answers at the address of this one.
 func (c *Controller) Replaced(in placement.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -384,7 +386,7 @@
 	return c.rng.IntN(n)
 }
 
-// Counts returns the servers by service and state.
+// Counts returns the number of servers by service and state.
 func (c *Controller) Counts() map[string]placement.Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/registry/registry_test.go
+++ b/controller/registry/registry_test.go
@@ -27,7 +27,7 @@
 	return store.Object{Key: "servers/" + id, Version: version, Value: value}
 }
 
-// newest is the revision of lists that are not older than anything known.
+// newest is a list revision later than any version in the tests.
 const newest = int64(1) << 40
 
 func gone(id string) store.Object { return store.Object{Key: "servers/" + id, Deleted: true} }
@@ -42,8 +42,9 @@
 
 func count(c *registry.Controller) int { return c.Counts()["svc"].Up }
 
-// TestGoneServerIsDroppedSoon: well before the bound on leaving servers.
-func TestGoneServerIsDroppedSoon(t *testing.T) {
+// Guards against requests to a deregistered server: it is removed well before the time limit
+// for leaving servers.
+func TestDeregisteredServerIsRemovedSoon(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
 		c.Changed([]store.Object{gone("a")})
@@ -54,21 +55,21 @@
 	})
 }
 
-// TestLapsedServersAreKept: after the store was away, a registration may be
-// missing for two seconds.
+// Guards against removing live servers after an outage of the store, when a
+// registration may be missing for two seconds.
 func TestLapsedServersAreKept(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
 		c.Lost()
 		time.Sleep(5 * time.Second)
 		if count(c) != 2 {
-			t.Fatal("dropped while the store is away")
+			t.Fatal("removed during an outage of the store")
 		}
 		c.Regained()
 		c.Listed(nil, newest)
 		time.Sleep(2 * time.Second)
 		if count(c) != 2 {
-			t.Fatal("dropped before registrations are back")
+			t.Fatal("removed before registrations are back")
 		}
 		c.Changed([]store.Object{entry("b", 9, false)})
 		time.Sleep(time.Second)
@@ -78,7 +79,8 @@
 	})
 }
 
-// TestOlderRegistrationChangesNothing: another router may know less.
+// Guards against an older version of a registration, sent by a router that is
+// behind, replacing a newer one.
 func TestOlderRegistrationChangesNothing(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Changed([]store.Object{entry("a", 5, true)})
@@ -89,13 +91,13 @@
 	})
 }
 
-// unreadableEntry is what another writer left under a server's key.
+// unreadableEntry returns an object under a server's key that cannot be decoded.
 func unreadableEntry(id string, version int64) store.Object {
 	return store.Object{Key: "servers/" + id, Version: version, Value: []byte("{")}
 }
 
-// TestUnreadableRegistrationNamesNoServer: neither a new one nor one that takes the
-// place of a server's; the others hold, and the server is back with its next one.
+// Guards against an unreadable registration that adds a server, keeps the server that it
+// replaces, or affects others. The server is used again after its next valid registration.
 func TestUnreadableRegistrationNamesNoServer(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), unreadableEntry("b", 2), entry("c", 3, false)}, newest)
@@ -109,14 +111,14 @@
 		time.Sleep(5 * time.Second)
 		c.Changed([]store.Object{entry("a", 5, false)})
 		if count(c) != 2 {
-			t.Fatal("the server has registered anew and is not used")
+			t.Fatal("the server has registered again and is not used")
 		}
 	})
 }
 
-// TestUnreadableRegistrationIsToldOnce: a version is counted once, however often it
-// is listed, and other routers are told of it too.
-func TestUnreadableRegistrationIsToldOnce(t *testing.T) {
+// Guards against counting an unreadable version each time that it is listed, and
+// against withholding it from other routers.
+func TestUnreadableRegistrationIsCountedOnce(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		for range 5 {
 			c.Listed([]store.Object{entry("a", 1, false), unreadableEntry("b", 2)}, newest)
@@ -126,20 +128,20 @@
 			t.Fatalf("%d counted, want one for each version", n)
 		}
 		if told, _ := c.All(); len(told) != 2 {
-			t.Fatalf("%d registrations told to other routers, want both", len(told))
+			t.Fatalf("%d registrations propagated to other routers, want both", len(told))
 		}
 	})
 }
 
-// incarnationEntry is the registration of a server's process.
+// incarnationEntry returns the registration of a server process started at a given time.
 func incarnationEntry(id string, version, started int64, leaving bool) store.Object {
 	value, _ := json.Marshal(placement.Server{Service: "svc", Started: started, Leaving: leaving}) // plain fields always encode
 	return store.Object{Key: "servers/" + id, Version: version, Value: value}
 }
 
-// TestServerThatStartsAgainUnderItsIDIsUsed: it left, or was replaced at its
-// address, and is back as another process. Older news of the process before, through
-// another router, changes nothing.
+// Guards against ignoring a server that left, or was replaced at its address, and
+// restarted as a new process under the same ID. Late updates about the earlier process
+// from another router change nothing.
 func TestServerThatStartsAgainUnderItsIDIsUsed(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{incarnationEntry("a", 1, 1000, false)}, newest)
@@ -151,17 +153,17 @@
 		c.Changed([]store.Object{incarnationEntry("a", 3, 1000, true)})
 		c.Replaced(placement.Incarnation{ID: "a", Started: 1000})
 		if count(c) != 1 {
-			t.Fatal("the old process's news ejected the new one")
+			t.Fatal("an update about the old process ejected the new one")
 		}
 		c.Changed([]store.Object{incarnationEntry("a", 5, 2000, true)})
 		if count(c) != 0 {
-			t.Fatal("the new process leaves and is used")
+			t.Fatal("the new process is leaving and still used")
 		}
 	})
 }
 
-// TestDeletionAfterReturnIsFollowed: a registration that is deleted just after
-// the store is back is a server that leaves, and no lapse.
+// Guards against treating a registration as lapsed that is deleted just after the
+// store has recovered: its server is leaving.
 func TestDeletionAfterReturnIsFollowed(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
@@ -178,8 +180,8 @@
 	})
 }
 
-// TestDeletedRegistrationStaysGone: another router may tell the history of a
-// server that has left long ago.
+// Guards against restoring a server that has left when another router sends its
+// outdated registration.
 func TestDeletedRegistrationStaysGone(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 5, false), entry("b", 2, false)}, newest)
@@ -200,22 +202,22 @@
 	})
 }
 
-// TestOlderDeletionChangesNothing: a registration lapsed and came back, and
-// another router tells of the lapse only now.
+// Guards against a late deletion: a registration lapsed and was created again, and
+// another router propagates the lapse only now.
 func TestOlderDeletionChangesNothing(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 9, false)}, newest)
 		c.Changed([]store.Object{{Key: "servers/a", Version: 5, Deleted: true}})
 		time.Sleep(3 * time.Second)
 		if count(c) != 1 {
-			t.Fatal("dropped by a deletion that is older than the registration")
+			t.Fatal("removed by a deletion that is older than the registration")
 		}
 	})
 }
 
-// TestOlderListForgetsNothingNewer: a router turns from one teller to another that is
-// a moment behind, and whose list lacks a server that has registered since. The
-// server must not be dropped: its entry does not change again for a long time.
+// Guards against a list that removes newer registrations: a router switches to an update
+// source that is slightly behind and whose list lacks a server that has registered since. The
+// server must not be removed, since its registration may not change again for a long time.
 func TestOlderListForgetsNothingNewer(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false)}, 1)
@@ -224,7 +226,7 @@
 		time.Sleep(5 * time.Second)
 		c.Changed([]store.Object{entry("b", 8, false)})
 		if count(c) != 2 {
-			t.Fatal("a server was dropped by a list that is older than its registration")
+			t.Fatal("a server was removed by a list that is older than its registration")
 		}
 		c.Listed([]store.Object{entry("a", 1, false)}, 9)
 		time.Sleep(5 * time.Second)
@@ -234,15 +236,16 @@
 	})
 }
 
-// TestRegistrationThatCannotBeReadEndsNoProcess: it names no server, and the others hold.
-func TestRegistrationThatCannotBeReadEndsNoProcess(t *testing.T) {
-	poisonous := func(id string, value []byte) (placement.Server, error) {
+// Guards against a registration that makes the decoder panic and ends the router: it is
+// ignored, and the other servers stay in use.
+func TestDecoderPanicDoesNotEndTheRouter(t *testing.T) {
+	panicking := func(id string, value []byte) (placement.Server, error) {
 		if id == "bad" {
 			panic("a fault in reading")
 		}
 		return decode(id, value)
 	}
-	c := registry.New(poisonous, upstream.New(upstream.Options{}), rand.New(rand.NewPCG(1, 1)), zap.NewNop())
+	c := registry.New(panicking, upstream.New(upstream.Options{}), rand.New(rand.NewPCG(1, 1)), zap.NewNop())
 	c.Listed([]store.Object{entry("a", 1, false), entry("bad", 2, false)}, newest)
 	if count(c) != 1 || c.Unreadable() != 1 {
 		t.Errorf("%d servers, %d unreadable", count(c), c.Unreadable())
--- a/controller/registry/suspended_test.go
+++ b/controller/registry/suspended_test.go
@@ -9,9 +9,9 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// TestGoneServerIsDroppedOnWaking: the grace of a registration that went is over when the
-// machine was suspended for longer.
-func TestGoneServerIsDroppedOnWaking(t *testing.T) {
+// Guards against a grace period that does not advance while the machine is suspended: a
+// deregistered server is removed on resume if the suspension outlasted the period.
+func TestDeregisteredServerIsRemovedOnResume(t *testing.T) {
 	machine := clocktest.New(t)
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
--- a/controller/registry/unreadable.go
+++ b/controller/registry/unreadable.go
@@ -9,24 +9,24 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// unreadableLogEvery is the least time between two log lines about registrations
-// that cannot be read: who writes them may do so many times a second.
-const unreadableLogEvery = time.Second
+// unreadableLogInterval is the minimum time between two log lines about registrations
+// that cannot be decoded: a faulty writer may write many per second.
+const unreadableLogInterval = time.Second
 
-// unreadable counts the registrations that could not be read.
+// unreadable counts the registrations that could not be decoded.
 type unreadable struct {
 	count int64
 	lines logs.Sparse
 }
 
-// note counts a version of a registration and logs it, unless a line was written
-// just now.
-func (u *unreadable) note(log *zap.Logger, now time.Time, o store.Object, cause error) {
+// record counts a version of a registration and logs it, unless a line was written
+// within unreadableLogInterval.
+func (u *unreadable) record(log *zap.Logger, now time.Time, o store.Object, cause error) {
 	u.count++
-	leftOut, due := u.lines.Due(now, unreadableLogEvery)
+	leftOut, due := u.lines.Due(now, unreadableLogInterval)
 	if !due {
 		return
 	}
-	log.Error("registration is not readable; it names no server", zap.String("key", o.Key), zap.Int64("version", o.Version),
+	log.Error("cannot decode server registration; the server is not used", zap.String("key", o.Key), zap.Int64("version", o.Version),
 		zap.Int64("lines_left_out", leftOut), zap.Error(cause))
 }
