--- a/controller/roster/fleet_test.go
+++ b/controller/roster/fleet_test.go
@@ -22,25 +22,25 @@
 	"github.com/gaplink/gaplink/wait"
 )
 
-// The tests here start fleets of many sizes in virtual time, without a network: what a router does
-// at its start must not grow with the fleet, and none may take a fleet for a small one before it
-// knows.
+// These tests start fleets of many sizes in virtual time, without a network. The work of a router
+// at its start must not grow with the fleet, and no router may treat a fleet as small before it
+// knows the size.
 
-// fleet is routers that start, with their store.
+// fleet is a set of routers and their store.
 type fleet struct {
 	objects *store.Counting
 	seeds   []string
-	// seedsDead tells that nothing listens at the seeds.
-	seedsDead bool
+	// seedsDown makes all calls to the seeds fail.
+	seedsDown bool
 
 	mu     sync.Mutex
 	hellos int
-	// most is how many hellos one router got.
+	// most is the number of hellos that each router received.
 	most map[string]int
 	all  map[string]*roster.Controller
 }
 
-var errDead = errors.New("nothing listens there")
+var errUnreachable = errors.New("connection refused")
 
 // Hello implements roster.Calls.
 func (f *fleet) Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
@@ -48,17 +48,17 @@
 	f.hellos++
 	f.most[addr]++
 	asked := f.all[addr]
-	dead := f.seedsDead && slices.Contains(f.seeds, addr)
+	dead := f.seedsDown && slices.Contains(f.seeds, addr)
 	f.mu.Unlock()
 	if err := wait.For(ctx, time.Millisecond); err != nil || asked == nil || dead {
-		return nil, errDead
+		return nil, errUnreachable
 	}
 	return asked.Hello(ctx, req)
 }
 
 func address(n int) string { return fmt.Sprintf("10.0.%d.%d:1", n/250, n%250) }
 
-// member is a router; every twentieth has a large link.
+// member returns the nth router. Every twentieth has a large link.
 func member(n int) peer.Router {
 	r := peer.Router{ID: fmt.Sprintf("r%04d", n), Addr: address(n), Domain: fmt.Sprint("z", n%5), Incarnation: fmt.Sprint(n, "/1"), LinkMbps: 20}
 	if n%20 == 7 {
@@ -67,10 +67,10 @@
 	return r
 }
 
-// contacts is how many routers the tests name as those to get updates from.
+// contacts is the number of routers that send updates to the others in the tests.
 const contacts = 12
 
-// start starts a router.
+// start starts the nth router.
 func (f *fleet) start(ctx context.Context, n int, first bool) *roster.Controller {
 	self := member(n)
 	known := members.New(membership.Member{ID: self.ID, Kind: "router", Addr: self.Addr, Domain: self.Domain, State: membership.Live, LinkMbps: self.LinkMbps}, nil, 0, zap.NewNop())
@@ -98,7 +98,7 @@
 	}
 }
 
-// startAll starts so many routers together.
+// startAll starts the given number of routers together.
 func (f *fleet) startAll(ctx context.Context, routers int, first bool) (all []*roster.Controller) {
 	for n := range routers {
 		all = append(all, f.start(ctx, n, first))
@@ -106,7 +106,7 @@
 	return all
 }
 
-// lists returns the lists of registrations that the store answered.
+// lists returns the number of list calls to the store.
 func (f *fleet) lists() int64 {
 	n := int64(0)
 	for p, calls := range f.objects.ByPurpose() {
@@ -117,8 +117,8 @@
 	return n
 }
 
-// Guards against greetings of all by all, lists of the store by each router, and routers that take
-// a large fleet for a small one before they have met the others.
+// Guards against introductions of each router to all others, list calls to the store by each
+// router, and routers that treat a large fleet as small before they know the others.
 func TestStartDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, routers := range []int{16, 87, 300, 984, 2000} {
 		for _, first := range []bool{true, false} {
@@ -133,7 +133,7 @@
 						time.Sleep(100 * time.Millisecond)
 						for n, c := range all {
 							if !c.IsLarge() {
-								t.Fatalf("router %d takes the fleet for a small one", n)
+								t.Fatalf("router %d treats the fleet as small", n)
 							}
 						}
 					}
@@ -144,7 +144,7 @@
 							t.Fatalf("router %d does not know the fleet after 4 s", n)
 						}
 						if c.Size() != routers {
-							t.Errorf("router %d takes it for %d routers", n, c.Size())
+							t.Errorf("router %d knows %d routers", n, c.Size())
 						}
 					}
 					f.mu.Lock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// registerAll registers routers that were there before.
+// registerAll writes the registrations of routers that ran before.
 func (f *fleet) registerAll(t *testing.T, routers int) {
 	t.Helper()
 	for n := range routers {
@@ -175,12 +175,12 @@
 	}
 }
 
-// Guards against a fleet that waits for seeds which are gone for good.
+// Guards against a fleet that waits for seeds that never return.
 func TestFleetStartsWithoutItsSeeds(t *testing.T) {
 	for _, routers := range []int{3, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet()
-			f.seedsDead = true
+			f.seedsDown = true
 			f.registerAll(t, routers)
 			all := f.startAll(t.Context(), routers, false)
 			time.Sleep(4 * time.Second)
@@ -193,8 +193,8 @@
 	}
 }
 
-// Guards against a small fleet whose routers know only those of their seeds, or not each other's
-// processes: they lend each other tokens.
+// Guards against routers of a small fleet that know only their seeds, or don't know each other's
+// incarnations, which they need to lend each other tokens.
 func TestRoutersOfASmallFleetMeet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers = 6
@@ -214,8 +214,8 @@
 	})
 }
 
-// A registration that ends is followed, whichever router tells of it, and one that another tells
-// of later and knew before does not come back.
+// Guards against routers that ignore a deleted registration reported by another router, and against
+// a deleted registration that a stale update restores.
 func TestRegistrationsAreFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers = 40
@@ -239,13 +239,13 @@
 		other.TakeUpdate(list, revision)
 		other.TakeListed(list, revision)
 		if _, known := other.Members.Get(member(20).ID); known || other.Size() != routers-1 {
-			t.Errorf("a router whose registration has ended is known: %v, %d routers", known, other.Size())
+			t.Errorf("a router whose registration was deleted is known: %v, %d routers", known, other.Size())
 		}
 	})
 }
 
-// The process that wrote a registration need not be the one that runs, and one that is known is not
-// forgotten for a registration.
+// Guards against taking the process that wrote a registration for the running one, and against a
+// registration that clears a known incarnation.
 func TestRegistrationDoesNotNameTheProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -261,7 +261,7 @@
 		list, revision := c.All()
 		c.TakeListed(list, revision+1)
 		if m, _ := c.Members.Get(member(5).ID); m.Incarnation != member(5).Incarnation {
-			t.Errorf("the process that was met is forgotten: %+v", m)
+			t.Errorf("the known incarnation was cleared: %+v", m)
 		}
 	})
 }
--- a/controller/roster/introduce.go
+++ b/controller/roster/introduce.go
@@ -17,54 +17,55 @@
 )
 
 const (
-	// greetAtOnce bounds the greetings under way.
-	greetAtOnce = 16
-	// greetWithin bounds the wait for the answers to the greetings of a small fleet: those that
-	// run answer within milliseconds.
-	greetWithin = 250 * time.Millisecond
-	// askSeedsFirst is the pause between two rounds of questions to the seeds, more or less a
-	// half. It doubles up to askSeedsLongest.
-	askSeedsFirst   = 100 * time.Millisecond
-	askSeedsLongest = time.Second
-	// spreadFirstStart is the time over which routers that all start for the first time spread
-	// their questions to the seeds.
-	spreadFirstStart = 500 * time.Millisecond
-	// readStoreAfter is when a router whose seeds know nothing lists the registrations for
-	// itself, and readStoreSpread the time over which a fleet whose seeds are all gone spreads
-	// these lists.
-	readStoreAfter  = 300 * time.Millisecond
-	readStoreSpread = 2 * time.Second
+	// maxConcurrentHellos is the maximum number of concurrent introductions.
+	maxConcurrentHellos = 16
+	// helloAllTimeout bounds the wait for answers to introductions in a small fleet: running routers
+	// answer within milliseconds.
+	helloAllTimeout = 250 * time.Millisecond
+	// seedBackoffMin is the first delay between two rounds of requests to the seeds, with a jitter
+	// of half of it. It doubles up to seedBackoffMax.
+	seedBackoffMin = 100 * time.Millisecond
+	seedBackoffMax = time.Second
+	// firstStartSpread is the time over which routers spread their requests to the seeds when the
+	// whole fleet starts for the first time.
+	firstStartSpread = 500 * time.Millisecond
+	// storeListDelay is the minimum time after which a router whose seeds don't know the fleet
+	// lists the registrations itself, and storeListSpread the time over which the routers of a
+	// fleet without live seeds spread these lists.
+	storeListDelay  = 300 * time.Millisecond
+	storeListSpread = 2 * time.Second
 )
 
-// introduce learns how large the fleet is and whom to ask for updates: a seed from the store, any
-// other router from a seed, or from the store if no seed knows. In a small fleet it greets all.
+// introduce learns how large the fleet is and where to get updates. A seed reads the store; other
+// routers ask a seed, or read the store if no seed knows. In a small fleet, introduce then
+// introduces the router to all others.
 func (c *Controller) introduce(ctx context.Context) {
 	begun := clock.Now()
-	patience := readStoreAfter + rand.N(readStoreSpread)
+	listAfter := storeListDelay + rand.N(storeListSpread)
 	if c.FirstStart && !c.isSeed() {
-		_ = wait.For(ctx, rand.N(spreadFirstStart))
+		_ = wait.For(ctx, rand.N(firstStartSpread))
 	}
-	for pause := askSeedsFirst; ctx.Err() == nil; pause = min(2*pause, askSeedsLongest) {
-		if c.learn(ctx, clock.Since(begun) >= patience) {
+	for pause := seedBackoffMin; ctx.Err() == nil; pause = min(2*pause, seedBackoffMax) {
+		if c.discover(ctx, clock.Since(begun) >= listAfter) {
 			break
 		}
 		_ = wait.For(ctx, time.Duration((0.5+rand.Float64())*float64(pause)))
 	}
 	if c.Size() < Large {
-		c.greetAll(ctx)
+		c.helloAll(ctx)
 	}
 }
 
-// learn tries once to learn of the fleet. fromStore tells that a router that is no seed may list
-// the registrations too.
-func (c *Controller) learn(ctx context.Context, fromStore bool) bool {
+// discover makes one attempt to learn about the fleet. fromStore allows a router that is no seed to list
+// the registrations.
+func (c *Controller) discover(ctx context.Context, fromStore bool) bool {
 	switch {
 	case c.isSeed():
-		return c.learnFromStore(ctx, c.Store.List)
+		return c.discoverFromStore(ctx, c.Store.List)
 	case c.askSeeds(ctx):
 		return true
 	case fromStore || len(c.Seeds()) == 0:
-		return c.learnFromStore(ctx, c.listStale)
+		return c.discoverFromStore(ctx, c.listStale)
 	default:
 		return false
 	}
@@ -72,14 +73,14 @@
 
 func (c *Controller) isSeed() bool { return slices.Contains(c.Seeds(), c.Self.Addr) }
 
-// lister lists the objects of a kind.
+// lister lists the objects of a kind, with the revision of the list.
 type lister func(ctx context.Context, kind string) ([]store.Object, int64, error)
 
 func (c *Controller) listStale(ctx context.Context, kind string) ([]store.Object, int64, error) {
 	return store.ListStale(ctx, c.Store, kind)
 }
 
-func (c *Controller) learnFromStore(ctx context.Context, list lister) bool {
+func (c *Controller) discoverFromStore(ctx context.Context, list lister) bool {
 	if err := c.readStore(ctx, list); err != nil {
 		c.Log.Info("registrations of routers not listed", zap.Error(err))
 		return false
@@ -97,34 +98,35 @@
 	return nil
 }
 
-// askSeeds asks the seeds one after the other, in a random order, until one knows the fleet.
+// askSeeds asks the seeds one by one in random order until one knows the fleet.
 func (c *Controller) askSeeds(ctx context.Context) bool {
 	seeds := slices.DeleteFunc(slices.Clone(c.Seeds()), func(addr string) bool { return addr == c.Self.Addr })
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	for _, addr := range seeds {
-		answer, err := c.greet(ctx, addr)
+		answer, err := c.hello(ctx, addr)
 		if err != nil || !answer.Known {
 			continue
 		}
 		c.mu.Lock()
-		c.told = answer.Fleet
+		c.reportedSize = answer.Fleet
 		c.mu.Unlock()
 		for _, r := range answer.Contacts {
-			c.meet(r)
+			c.addMember(r)
 		}
 		return true
 	}
 	return false
 }
 
-// greetAll greets the known routers, and waits for the answers of those that run.
-func (c *Controller) greetAll(ctx context.Context) {
+// helloAll introduces this router to all known routers, and waits up to helloAllTimeout for their
+// answers.
+func (c *Controller) helloAll(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.greetEach(ctx, c.Members.Members())
+		c.helloEach(ctx, c.Members.Members())
 	}()
-	timer := time.NewTimer(greetWithin)
+	timer := time.NewTimer(helloAllTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -133,24 +135,24 @@
 	}
 }
 
-func (c *Controller) greetEach(ctx context.Context, all []membership.Member) {
-	var greetings sync.WaitGroup
-	slots := make(chan struct{}, greetAtOnce)
+func (c *Controller) helloEach(ctx context.Context, all []membership.Member) {
+	var hellos sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentHellos)
 	for _, m := range all {
 		if m.ID == c.Self.ID || m.Incarnation != "" {
-			continue // one whose process is known has been met
+			continue // already introduced, since its process is known
 		}
 		slots <- struct{}{}
-		greetings.Go(func() {
+		hellos.Go(func() {
 			defer func() { <-slots }()
-			_, _ = c.greet(ctx, m.Addr) // it has logged why
+			_, _ = c.hello(ctx, m.Addr) // hello logs the error
 		})
 	}
-	greetings.Wait()
+	hellos.Wait()
 }
 
-// greet introduces this router to the one at addr, and meets it.
-func (c *Controller) greet(ctx context.Context, addr string) (*peer.HelloAnswer, error) {
+// hello introduces this router to the one at addr, and records that router as a member.
+func (c *Controller) hello(ctx context.Context, addr string) (*peer.HelloAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := c.Calls.Hello(ctx, addr, &peer.HelloRequest{Self: c.Self})
@@ -158,13 +160,13 @@
 		c.Log.Info("router does not answer", zap.String("address", addr), zap.Error(err))
 		return nil, err
 	}
-	c.meet(answer.Self)
+	c.addMember(answer.Self)
 	return answer, nil
 }
 
 // Hello answers another router that introduces itself.
 func (c *Controller) Hello(_ context.Context, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
-	c.meet(req.Self)
+	c.addMember(req.Self)
 	c.Members.Reached(req.Self.ID)
 	answer := &peer.HelloAnswer{Self: c.Self}
 	if c.Revision() == 0 {
@@ -175,7 +177,7 @@
 	return answer, nil
 }
 
-// contacts returns the routers that a router of a failure domain needs to know first.
+// contacts returns the routers that a new router of a failure domain must know.
 func (c *Controller) contacts(domain string) []peer.Router {
 	var ids []string
 	if c.Size() >= Large {
@@ -188,15 +190,15 @@
 	routers := make([]peer.Router, 0, len(ids))
 	for _, id := range ids {
 		if m, ok := c.Members.Get(id); ok {
-			// Which process runs there may have changed since this router met it.
+			// The incarnation is left out, since that router may have restarted.
 			routers = append(routers, peer.Router{ID: m.ID, Addr: m.Addr, Domain: m.Domain, LinkMbps: m.LinkMbps})
 		}
 	}
 	return routers
 }
 
-// meet notes a router that answers, or of which another one tells.
-func (c *Controller) meet(r peer.Router) {
+// addMember records a router that has answered or that another one has reported.
+func (c *Controller) addMember(r peer.Router) {
 	if r.ID == c.Self.ID || r.ID == "" {
 		return
 	}
--- a/controller/roster/replica.go
+++ b/controller/roster/replica.go
@@ -14,11 +14,11 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// errNoID is a registration that does not say whose it is.
-var errNoID = errors.New("no id")
+// errNoID is returned for a registration without an id.
+var errNoID = errors.New("registration has no id")
 
-// decode reads a router's registration. One without an id or an address to call is
-// none.
+// decode decodes a router's registration. It returns an error if the id is missing or
+// the address is invalid.
 func decode(value []byte) (peer.Router, error) {
 	return guard.Call(func() (peer.Router, error) {
 		var r peer.Router
@@ -79,7 +79,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.changes.Revision() == 0 {
-		return // only a list shows what there was before
+		return // changes alone don't show the registrations that existed before
 	}
 	c.changes.Advance(revision)
 	c.changes.Trim(len(c.entries))
@@ -91,7 +91,7 @@
 // Regained implements follow.Handler.
 func (c *Controller) Regained() {}
 
-// TakeUpdate implements updates.Replica. One that is older than what is known changes nothing.
+// TakeUpdate implements updates.Replica. It ignores an update older than the known revision.
 func (c *Controller) TakeUpdate(changed []changelog.Received, revision int64) {
 	if revision < c.Revision() {
 		return
@@ -100,7 +100,7 @@
 	c.Advanced(revision)
 }
 
-// TakeListed implements updates.Replica. A list that is older than what is known changes nothing.
+// TakeListed implements updates.Replica. It ignores a list older than the known revision.
 func (c *Controller) TakeListed(all []changelog.Received, revision int64) {
 	c.mu.Lock()
 	known := c.changes.Revision()
@@ -112,9 +112,9 @@
 	for _, o := range all {
 		present[o.Key] = true
 	}
-	c.takeChanged(append(c.absent(present, revision), all...))
+	c.takeChanged(append(c.missingFrom(present, revision), all...))
 	if len(all) >= Large {
-		// A router that is met and not registered yet comes with the next changes.
+		// A known router that is not registered yet is added again by later changes.
 		c.Members.Retain(func(id string) bool { return present[keyOf(id)] })
 	}
 	c.mu.Lock()
@@ -127,25 +127,25 @@
 	c.changes.Trim(len(c.entries))
 }
 
-// absent returns the ends of the registrations that a list at a revision lacks.
-func (c *Controller) absent(present map[string]bool, revision int64) []changelog.Received {
+// missingFrom returns deletions of the known registrations that a list at a revision lacks.
+func (c *Controller) missingFrom(present map[string]bool, revision int64) []changelog.Received {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var ends []changelog.Received
+	var deletions []changelog.Received
 	for key, e := range c.entries {
 		if !present[key] && e.Version <= revision {
-			ends = append(ends, changelog.Received{Object: store.Object{Key: key, Version: revision, Deleted: true}})
+			deletions = append(deletions, changelog.Received{Object: store.Object{Key: key, Version: revision, Deleted: true}})
 		}
 	}
-	return ends
+	return deletions
 }
 
-// takeChanged takes registrations and their ends, in this order.
+// takeChanged applies registrations and deletions in order.
 func (c *Controller) takeChanged(objects []changelog.Received) {
 	var met []membership.Member
 	var gone []string
 	for _, o := range objects {
-		if !c.put(o) {
+		if !c.apply(o) {
 			continue
 		}
 		if o.Deleted {
@@ -154,14 +154,15 @@
 		}
 		r, err := decode(o.Value)
 		if err != nil {
-			c.Log.Error("registration of a router is not readable", zap.String("key", o.Key), zap.Error(err))
+			c.Log.Error("cannot decode router registration; ignoring it", zap.String("key", o.Key), zap.Error(err))
 			continue
 		}
 		if r.ID == c.Self.ID {
-			c.found(r, o.Version)
+			c.setOwnVersion(r, o.Version)
 			continue
 		}
-		// The process that wrote it need not be the one that runs: a restart writes nothing.
+		// A restarted router keeps its registration, so the process that wrote it may not be
+		// the one that runs.
 		r.Incarnation = ""
 		met = append(met, memberOf(r))
 	}
@@ -172,8 +173,8 @@
 	c.Log.Info("registrations of routers", zap.Int("registered", len(met)), zap.Int("gone", len(gone)), zap.Int("known", c.Size()))
 }
 
-// put keeps a registration or its end, and tells whether it is news.
-func (c *Controller) put(o changelog.Received) bool {
+// apply stores a registration or its deletion, and reports whether it is new.
+func (c *Controller) apply(o changelog.Received) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, had := c.entries[o.Key]
--- a/controller/roster/roster.go
+++ b/controller/roster/roster.go
@@ -1,11 +1,11 @@
-// Package roster registers this router in the store and keeps the registrations of the others.
+// Package roster registers this router in the store and tracks the registrations of the others.
 //
 // A router that starts learns from a seed how large the fleet is and from which routers it gets
-// updates. In a small fleet it greets all others. In a large one it follows their registrations,
-// which routers propagate as those of backend servers, and calls few: what each does for the fleet
-// must not grow with the fleet.
+// updates. In a small fleet it introduces itself to all others. In a large one it follows their
+// registrations, which routers propagate like those of backend servers, and calls few others: the
+// work of each router must not grow with the fleet.
 //
-// Nothing rests on the roster for safety. It serves borrowing, updates and fair shares.
+// No safety property depends on the roster. It is used for borrowing, updates and fair shares.
 package roster
 
 import (
@@ -27,38 +27,38 @@
 )
 
 const (
-	// Kind is the kind of the registrations in the store.
+	// Kind is the object kind of router registrations in the store.
 	Kind = "routers"
-	// Large is the number of routers from which a fleet is large: few routers watch the store
-	// for the others, and budgets have owners.
+	// Large is the minimum number of routers of a large fleet, in which few routers watch the
+	// store for the others, and budgets have owners.
 	Large = 16
 	// callTimeout bounds a call to another router.
 	callTimeout = 500 * time.Millisecond
-	// retryFirst is the pause after a failed registration, more or less a half. It
-	// doubles up to retryLongest: nobody waits for it, and while the store is away all
-	// that have started ask.
-	retryFirst   = 500 * time.Millisecond
-	retryLongest = 8 * time.Second
-	// firstStartWait is how long routers that all start for the first time wait before
-	// they look for each other: they start within a third of a second, and callers come
-	// many seconds later.
+	// retryBackoffMin is the delay after a failed registration, with a jitter of half of it. It
+	// doubles up to retryBackoffMax: nothing waits for the registration, and all routers that
+	// started during an outage of the store retry.
+	retryBackoffMin = 500 * time.Millisecond
+	retryBackoffMax = 8 * time.Second
+	// firstStartWait is how long routers wait before they look for each other when the
+	// whole fleet starts for the first time: they start within a third of a second, and
+	// callers connect many seconds later.
 	firstStartWait = 1500 * time.Millisecond
 )
 
-// refreshAt is when, after the start, the registrations of a small fleet are listed again. Lists
-// may be seconds old, so that of two routers that start together neither may see the other in its
-// first one.
-var refreshAt = []time.Duration{3 * time.Second, 8 * time.Second}
+// relistAt holds the times after the start at which a router of a small fleet lists the
+// registrations again. Lists may be seconds old, so two routers that start together may both be
+// missing from each other's first list.
+var relistAt = []time.Duration{3 * time.Second, 8 * time.Second}
 
-// Options are what a controller works with.
+// Options configures a Controller.
 type Options struct {
 	// Self is this router.
 	Self peer.Router
-	// Seeds are the addresses of routers to ask for the others.
+	// Seeds returns the addresses of routers to ask for the others.
 	Seeds func() []string
-	// Contacts returns the routers from which routers of a failure domain get updates.
+	// Contacts returns the ids of the routers that send updates to routers of a failure domain.
 	Contacts func(domain string) []string
-	// FirstStart tells that the whole fleet starts for the first time.
+	// FirstStart is set when the whole fleet starts for the first time.
 	FirstStart bool
 	Store      store.Store
 	Members    *members.Controller
@@ -67,22 +67,22 @@
 	Log   *zap.Logger
 }
 
-// Calls calls the router at an address.
+// Calls sends requests to the router at an address.
 type Calls interface {
 	Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error)
 }
 
-// Over returns calls over the protocol between routers.
-func Over(client *peer.Client) Calls { return overPeers{client} }
+// Over returns Calls that use the protocol between routers.
+func Over(client *peer.Client) Calls { return peerCalls{client} }
 
-type overPeers struct{ client *peer.Client }
+type peerCalls struct{ client *peer.Client }
 
 // Hello implements Calls.
-func (p overPeers) Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
+func (p peerCalls) Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
 	return peer.Call[peer.HelloRequest, peer.HelloAnswer](ctx, p.client, addr, peer.MethodHello, req)
 }
 
-// Controller keeps this router registered, and what is known of the others. It is safe for
+// Controller registers this router and tracks the registrations of the others. It is safe for
 // concurrent use. It implements follow.Handler and updates.Replica.
 type Controller struct {
 	Options
@@ -90,11 +90,12 @@
 	introduced chan struct{}
 
 	mu      sync.Mutex
-	version int64 // of this router's registration, as far as known; 0: it is not
-	// told is the number of routers that a seed told before their registrations were read.
-	told    int
-	entries map[string]changelog.Received // by key
-	changes changelog.Log[changelog.Received]
+	version int64 // the version of this router's registration, or 0 if none is known
+	// reportedSize is the number of routers that a seed reported. It is used until the registrations
+	// have been read.
+	reportedSize int
+	entries      map[string]changelog.Received // by key
+	changes      changelog.Log[changelog.Received]
 }
 
 // New returns a controller.
@@ -102,22 +103,23 @@
 	return &Controller{Options: o, introduced: make(chan struct{}), entries: map[string]changelog.Received{}}
 }
 
-// Introduced is closed when this router knows the size of the fleet and whom to ask for updates.
+// Introduced returns a channel that is closed when this router knows the size of the fleet and
+// where to get updates.
 func (c *Controller) Introduced() <-chan struct{} { return c.introduced }
 
-// Size returns the number of routers, as far as known, at least 1.
+// Size returns the known number of routers, at least 1.
 func (c *Controller) Size() int {
 	c.mu.Lock()
-	told := c.told
+	size := c.reportedSize
 	if c.changes.Revision() > 0 {
-		told = 0
+		size = 0
 	}
 	c.mu.Unlock()
-	return max(c.Members.Live(), told)
+	return max(c.Members.Live(), size)
 }
 
-// IsLarge tells whether the fleet is large. One whose size is not known counts as large: what a
-// router does for itself in a small fleet would be too much for a large one.
+// IsLarge reports whether the fleet is large. A fleet of unknown size counts as large, since the
+// requests that each router makes in a small fleet would overload a large one.
 func (c *Controller) IsLarge() bool {
 	select {
 	case <-c.introduced:
@@ -127,12 +129,12 @@
 	}
 }
 
-// Run registers the router and introduces it to the others, until both are done or the context
-// ends.
+// Run registers the router and introduces it to the others. It returns when both are done or the
+// context ends.
 func (c *Controller) Run(ctx context.Context) {
 	begun := clock.Now()
 	if c.FirstStart {
-		c.registerAtLast(ctx) // first, so that the others find it
+		c.registerWithRetry(ctx) // first, so that the others find it
 		_ = wait.For(ctx, clock.Until(begun.Add(firstStartWait)))
 	}
 	c.introduce(ctx)
@@ -141,34 +143,34 @@
 	}
 	close(c.introduced)
 	c.Log.Info("fleet known", zap.Int("routers", c.Size()), zap.Bool("large", c.IsLarge()), zap.Duration("after_ms", clock.Since(begun)))
-	c.registerAtLast(ctx)
-	for _, after := range refreshAt {
+	c.registerWithRetry(ctx)
+	for _, after := range relistAt {
 		if wait.For(ctx, clock.Until(begun.Add(after))) != nil || c.IsLarge() {
 			return
 		}
 		if err := c.readStore(ctx, c.listStale); err != nil {
-			c.Log.Info("registrations of routers not listed again", zap.Error(err))
+			c.Log.Info("cannot list registrations of routers again", zap.Error(err))
 		}
-		c.greetAll(ctx)
+		c.helloAll(ctx)
 	}
 }
 
-// registerAtLast registers the router, however often that takes.
-func (c *Controller) registerAtLast(ctx context.Context) {
-	pause := retryFirst
+// registerWithRetry registers the router, and retries until it succeeds or the context ends.
+func (c *Controller) registerWithRetry(ctx context.Context) {
+	pause := retryBackoffMin
 	for ctx.Err() == nil {
 		err := c.register(ctx)
 		if err == nil {
 			return
 		}
-		c.Log.Warn("not registered yet", zap.Error(err))
+		c.Log.Warn("cannot register router; retrying", zap.Error(err))
 		_ = wait.For(ctx, time.Duration((0.5+rand.Float64())*float64(pause)))
-		pause = min(2*pause, retryLongest)
+		pause = min(2*pause, retryBackoffMax)
 	}
 }
 
-// found notes this instance's registration, if it still says where to call.
-func (c *Controller) found(r peer.Router, version int64) {
+// setOwnVersion records the version of this instance's registration if its contents are up to date.
+func (c *Controller) setOwnVersion(r peer.Router, version int64) {
 	if r.Addr != c.Self.Addr || r.Domain != c.Self.Domain || r.LinkMbps != c.Self.LinkMbps {
 		return
 	}
@@ -177,9 +179,8 @@
 	c.version = version
 }
 
-// known returns the version of this instance's registration, 0 if there is none that
-// holds.
-func (c *Controller) known() int64 {
+// ownVersion returns the version of this instance's registration, or 0 if none is valid.
+func (c *Controller) ownVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
@@ -187,9 +188,10 @@
 
 func (c *Controller) key() string { return keyOf(c.Self.ID) }
 
-// register writes the registration, unless one of an earlier process at the same address is there.
+// register writes the registration, unless an earlier process at the same address has written the
+// same one.
 func (c *Controller) register(ctx context.Context) error {
-	if c.known() > 0 {
+	if c.ownVersion() > 0 {
 		return nil
 	}
 	value, err := json.Marshal(c.Self)
@@ -203,18 +205,18 @@
 	if err != nil {
 		return err
 	}
-	c.found(c.Self, made.Version)
+	c.setOwnVersion(c.Self, made.Version)
 	return nil
 }
 
-// replace writes the registration over an earlier one that says something else.
+// replace overwrites an earlier registration if its contents differ.
 func (c *Controller) replace(ctx context.Context, value []byte) (store.Object, error) {
 	old, err := c.Store.Get(ctx, c.key())
 	if err != nil {
 		return store.Object{}, err
 	}
 	if r, err := decode(old.Value); err == nil {
-		if c.found(r, old.Version); c.known() > 0 {
+		if c.setOwnVersion(r, old.Version); c.ownVersion() > 0 {
 			return old, nil
 		}
 	}
@@ -223,17 +225,17 @@
 
 // Leave removes the registration.
 func (c *Controller) Leave(ctx context.Context) {
-	err := c.remove(ctx, c.known())
+	err := c.remove(ctx, c.ownVersion())
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNotFound) {
 		err = c.removeNewest(ctx)
 	}
 	if err != nil {
-		c.Log.Info("registration not removed; others find out by calling", zap.Error(err))
+		c.Log.Info("cannot remove router registration; other routers will notice failed calls", zap.Error(err))
 	}
 }
 
-// errNotRegistered means that no registration was written.
-var errNotRegistered = errors.New("not registered")
+// errNotRegistered is returned when no registration was written.
+var errNotRegistered = errors.New("router is not registered")
 
 func (c *Controller) remove(ctx context.Context, version int64) error {
 	if version == 0 {
@@ -242,8 +244,8 @@
 	return c.Store.Delete(ctx, c.key(), version)
 }
 
-// removeNewest removes the registration whatever its version, as after a list that
-// was old.
+// removeNewest removes the registration at its current version, since the known version may
+// come from a stale list.
 func (c *Controller) removeNewest(ctx context.Context) error {
 	old, err := c.Store.Get(ctx, c.key())
 	if err != nil {
--- a/controller/roster/roster_test.go
+++ b/controller/roster/roster_test.go
@@ -16,15 +16,15 @@
 	"github.com/gaplink/gaplink/store/memory"
 )
 
-// nowhere is an address at which nothing listens.
-const nowhere = "127.0.0.1:1"
+// closedAddr is an address without a listener.
+const closedAddr = "127.0.0.1:1"
 
-// router returns the roster of a router that starts.
-func router(s store.Store, addr string) *roster.Controller {
+// newRoster returns the roster of a router that starts.
+func newRoster(s store.Store, addr string) *roster.Controller {
 	self := peer.Router{ID: "r", Addr: addr, Domain: "z", Incarnation: "r/1", LinkMbps: 20}
 	return roster.New(roster.Options{
 		Self:    self,
-		Seeds:   func() []string { return []string{nowhere} },
+		Seeds:   func() []string { return []string{closedAddr} },
 		Store:   s,
 		Members: members.New(membership.Member{ID: "r", Kind: "router", Addr: addr, Domain: "z"}, nil, 0, zap.NewNop()),
 		Calls:   roster.Over(peer.NewGreeter(peer.Options{DialTimeout: 100 * time.Millisecond})),
@@ -32,10 +32,10 @@
 	})
 }
 
-// started runs a roster until its registration lies in the store and it is introduced.
-func started(t *testing.T, s store.Store, addr string) *roster.Controller {
+// startRoster runs a roster until it is registered in the store and introduced.
+func startRoster(t *testing.T, s store.Store, addr string) *roster.Controller {
 	t.Helper()
-	c := router(s, addr)
+	c := newRoster(s, addr)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go c.Run(ctx)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// registered returns the router's registration, a zero one if there is none.
+// registered returns the router's registration, or a zero one if none exists.
 func registered(t *testing.T, s store.Store) peer.Router {
 	t.Helper()
 	var r peer.Router
@@ -64,14 +64,14 @@
 	return r
 }
 
-// TestRestartWritesNothing: all routers start again at once after a loss of power.
-// Their registrations hold, and a write each, three calls with the conflict that it
-// meets, would be the most of what the fleet asks of the store then.
+// Guards against a write by each router when all restart at once after a power failure.
+// Their registrations are still valid, and the three calls of a conflicting write per
+// router would be most of the fleet's load on the store.
 func TestRestartWritesNothing(t *testing.T) {
 	objects := memory.New()
-	started(t, objects, "127.0.0.1:9")
+	startRoster(t, objects, "127.0.0.1:9")
 	counting := store.NewCounting(objects)
-	started(t, counting, "127.0.0.1:9")
+	startRoster(t, counting, "127.0.0.1:9")
 	for p, n := range counting.ByPurpose() {
 		if p.Call != store.CallGet && p.Call != store.CallStaleList {
 			t.Errorf("%d calls %v", n, p)
@@ -79,17 +79,18 @@
 	}
 }
 
-// TestMovedRouterRegistersAnew: the registration names another address.
-func TestMovedRouterRegistersAnew(t *testing.T) {
+// Guards against a router that keeps its registration although its address has changed.
+func TestMovedRouterRegistersAgain(t *testing.T) {
 	objects := memory.New()
-	started(t, objects, "127.0.0.1:9")
-	started(t, objects, "127.0.0.1:10")
+	startRoster(t, objects, "127.0.0.1:9")
+	startRoster(t, objects, "127.0.0.1:10")
 }
 
-// TestLeaveRemovesTheRegistration, also one that was written since it was seen.
+// Guards against a registration that stays after the router has left, also if it was
+// written again since the router last read it.
 func TestLeaveRemovesTheRegistration(t *testing.T) {
 	objects := memory.New()
-	c := started(t, objects, "127.0.0.1:9")
+	c := startRoster(t, objects, "127.0.0.1:9")
 	o, err := objects.Get(t.Context(), "routers/r")
 	if err != nil {
 		t.Fatal(err)
@@ -103,9 +104,9 @@
 	}
 }
 
-// TestEntriesOfOtherWritersNameNoRouter: the others hold, and nothing is called that
-// has no address.
-func TestEntriesOfOtherWritersNameNoRouter(t *testing.T) {
+// Guards against invalid entries in the store that prevent a router from starting or
+// make it call a router without an address.
+func TestInvalidRegistrationsAreIgnored(t *testing.T) {
 	objects := memory.New()
 	for key, value := range map[string]string{
 		"routers/a": "null", "routers/b": "{", "routers/c": `{"ID":"c"}`, "routers/d": `{"ID":7,"Addr":"127.0.0.1:1"}`,
@@ -115,5 +116,5 @@
 			t.Fatal(err)
 		}
 	}
-	started(t, objects, "127.0.0.1:9")
+	startRoster(t, objects, "127.0.0.1:9")
 }
