--- a/controller/members/notes_test.go
+++ b/controller/members/failure_log_test.go
@@ -12,9 +12,9 @@
 	"github.com/gaplink/gaplink/controller/members"
 )
 
-// TestRouterThatComesAndGoesWritesFewLines: one that fails and answers by turns, many times
-// within a millisecond, once wrote 11,000 lines in 18 s over a fleet.
-func TestRouterThatComesAndGoesWritesFewLines(t *testing.T) {
+// Guards against a flood of log lines about a flapping router: one that failed and answered
+// alternately, many times within a millisecond, caused 11,000 lines in 18 s across a fleet.
+func TestFlappingRouterWritesFewLogLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zap.InfoLevel)
 		c := members.New(member("r0"), nil, 0, zap.New(core))
@@ -28,7 +28,7 @@
 			t.Errorf("%d lines in ten seconds", n)
 		}
 		if left := lines.All()[1].ContextMap()["left_out"]; left == int64(0) {
-			t.Error("no line tells how many were left out")
+			t.Error("no line reports how many were suppressed")
 		}
 	})
 }
--- a/controller/members/members.go
+++ b/controller/members/members.go
@@ -1,6 +1,6 @@
-// Package members keeps the router's view of the other routers current from
-// the platform's lagging list, from failed calls and from what members say
-// themselves.
+// Package members updates the router's view of the other routers from the
+// platform's list, which lags, from failed calls and from notices of the
+// members themselves.
 package members
 
 import (
@@ -20,71 +20,69 @@
 	Instances(ctx context.Context) ([]membership.Member, error)
 }
 
-// Controller keeps the view. It is safe for concurrent use.
+// Controller maintains the membership view. It is safe for concurrent use.
 type Controller struct {
 	lister Lister
 	every  time.Duration
 	log    *zap.Logger
 	self   membership.Member
 
-	mu     sync.Mutex
-	view   *membership.View
-	onList []func([]membership.Member)
-	ranked map[string]ranked // what First found lately
-	owners map[string]list   // what Owners found lately
-	live   counted
-	notes  map[string]*logs.Sparse // of the routers that were passed over
-	// excused tells that failed calls say nothing about the members.
-	excused func() bool
+	mu           sync.Mutex
+	view         *membership.View
+	onList       []func([]membership.Member)
+	firstByRole  map[string]cachedMember  // cached results of First, by role
+	ownersByRole map[string]cachedMembers // cached results of Owners, by role
+	live         cachedCount
+	failureLogs  map[string]*logs.Sparse // rate limits of the log lines about suspected routers
+	// ignoreFailures reports whether failed calls must not be counted against members.
+	ignoreFailures func() bool
 }
 
-// counted is the number of usable routers, and until when it is taken without
-// counting anew.
-type counted struct {
+// cachedCount is the cached number of usable routers and when it expires.
+type cachedCount struct {
 	count int
 	until time.Time
 }
 
-// ranked is the member found for a role. It is dropped when the view changes,
-// and after a while, since a suspicion ends by time alone.
-type ranked struct {
+// cachedMember is the cached best member for a role. It is dropped when the view changes,
+// and expires, since a suspicion ends by time alone.
+type cachedMember struct {
 	id    string
 	until time.Time
 }
 
-// list is the members found for a role, best first.
-type list struct {
+// cachedMembers is the cached members for a role, best first.
+type cachedMembers struct {
 	ids   []string
 	until time.Time
 }
 
-// rankFor is how long a found member is taken without ranking anew. Ranking
-// costs time in proportion to the members, and is asked for at every request
-// and for every budget in use.
-const rankFor = 200 * time.Millisecond
+// cacheTTL is how long a ranking or count is cached. Ranking takes time linear in the
+// number of members, and is needed for every request and for every budget in use.
+const cacheTTL = 200 * time.Millisecond
 
-// New returns a controller that reads the list every so often.
+// New returns a controller that reads the list at the given interval.
 func New(self membership.Member, lister Lister, every time.Duration, log *zap.Logger) *Controller {
 	return &Controller{
-		lister: lister,
-		every:  every,
-		log:    log,
-		self:   self,
-		view:   membership.NewView(self),
-		ranked: map[string]ranked{},
-		owners: map[string]list{},
-		notes:  map[string]*logs.Sparse{},
-
-		excused: func() bool { return false },
+		lister:       lister,
+		every:        every,
+		log:          log,
+		self:         self,
+		view:         membership.NewView(self),
+		firstByRole:  map[string]cachedMember{},
+		ownersByRole: map[string]cachedMembers{},
+		failureLogs:  map[string]*logs.Sparse{},
+
+		ignoreFailures: func() bool { return false },
 	}
 }
 
-// Excuse sets when failed calls say nothing about the members: while this
-// router's own link is full. Call it before the first call is made.
-func (c *Controller) Excuse(excused func() bool) { c.excused = excused }
+// Excuse sets a function that reports whether failed calls must not be counted against
+// members, as while this router's own link is full. Call it before the first call is made.
+func (c *Controller) Excuse(excused func() bool) { c.ignoreFailures = excused }
 
-// OnList registers a function that gets the backend servers of each list
-// read. Call it before Run.
+// OnList registers a function that is called with the backend servers of each list.
+// Call it before Run.
 func (c *Controller) OnList(fn func([]membership.Member)) {
 	c.onList = append(c.onList, fn)
 }
@@ -103,12 +101,12 @@
 	}
 }
 
-// Refresh reads the list once. A failed read keeps the last one.
+// Refresh reads the list once. If that fails, the last list stays in use.
 func (c *Controller) Refresh(ctx context.Context) {
 	list, err := c.lister.Instances(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.log.Debug("instance list not read", zap.Error(err))
+			c.log.Debug("cannot read instance list", zap.Error(err))
 		}
 		return
 	}
@@ -120,7 +118,7 @@
 	}
 	c.mu.Lock()
 	c.view.SetList(list)
-	c.viewChanged()
+	c.dropCaches()
 	c.mu.Unlock()
 	for _, fn := range c.onList {
 		fn(backends)
@@ -134,16 +132,15 @@
 func (c *Controller) First(now time.Time, role string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r, ok := c.ranked[role]; ok && now.Before(r.until) {
+	if r, ok := c.firstByRole[role]; ok && now.Before(r.until) {
 		return r.id
 	}
 	id := c.view.First(now, role)
-	c.ranked[role] = ranked{id: id, until: now.Add(rankFor)}
+	c.firstByRole[role] = cachedMember{id: id, until: now.Add(cacheTTL)}
 	return id
 }
 
-// FirstLargest returns the best member for a role among those with the largest
-// links, or this router if there is none.
+// FirstLargest returns the first of Largest for a role, or this router if there is none.
 func (c *Controller) FirstLargest(now time.Time, role string) string {
 	if ids := c.Largest(now, role, 1); len(ids) > 0 {
 		return ids[0]
@@ -151,15 +148,15 @@
 	return c.self.ID
 }
 
-// Largest returns the best usable members for a role, at most so many: those with the
-// largest links, in the order of the role.
+// Largest returns at most the given number of usable members for a role: those with the
+// largest links, and among equal links the best ranked for the role.
 func (c *Controller) Largest(now time.Time, role string, most int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.largest(now, role, most, func(membership.Member) bool { return true })
 }
 
-// largest is Largest among the members that count. It is called under the lock.
+// largest is Largest restricted to the members accepted by a filter. The caller holds the lock.
 func (c *Controller) largest(now time.Time, role string, most int, counts func(membership.Member) bool) []string {
 	var ids []string
 	for m := range c.view.Largest(now, role) {
@@ -173,22 +170,22 @@
 	return ids
 }
 
-// Outranks tells whether a member is ranked before another one for a role by Largest, suspected
-// or not.
+// Outranks reports whether Largest ranks a member before another one for a role, regardless of
+// suspicion.
 func (c *Controller) Outranks(role, id, other string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Precedes(role, id, other)
 }
 
-// viewChanged drops what was found in the view as it was.
-func (c *Controller) viewChanged() {
-	clear(c.ranked)
-	clear(c.owners)
+// dropCaches drops the cached rankings. The caller holds the lock.
+func (c *Controller) dropCaches() {
+	clear(c.firstByRole)
+	clear(c.ownersByRole)
 }
 
-// FirstIn returns the best usable members of a failure domain for a role, at most so
-// many: those with the largest links, in the order of the role.
+// FirstIn returns at most the given number of usable members of a failure domain for a role,
+// in the order of Largest.
 func (c *Controller) FirstIn(now time.Time, role, domain string, most int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,16 +207,16 @@
 	return m.Addr, ok
 }
 
-// Owners returns the first listed routers for a role, best first, whether they are
-// suspected or not.
+// Owners returns the first listed routers for a role, best first, including suspected
+// ones.
 func (c *Controller) Owners(now time.Time, role string, most int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o, ok := c.owners[role]; ok && now.Before(o.until) {
+	if o, ok := c.ownersByRole[role]; ok && now.Before(o.until) {
 		return o.ids
 	}
 	ids := c.view.Owners(role, most)
-	c.owners[role] = list{ids: ids, until: now.Add(rankFor)}
+	c.ownersByRole[role] = cachedMembers{ids: ids, until: now.Add(cacheTTL)}
 	return ids
 }
 
@@ -230,7 +227,7 @@
 	return c.view.Member(id)
 }
 
-// Incarnation returns the process last known at an instance; empty if none is.
+// Incarnation returns the last known process of an instance, or an empty string.
 func (c *Controller) Incarnation(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,7 +242,7 @@
 	return c.view.Members()
 }
 
-// Others returns the usable routers but this one, in a stable order.
+// Others returns the usable routers except this one, in a stable order.
 func (c *Controller) Others(now time.Time) []string {
 	ranked := c.Rank(now, "others")
 	others := ranked[:0:0]
@@ -266,34 +263,34 @@
 		return c.live.count
 	}
 	c.live.count = max(c.view.Live(now), 1)
-	c.live.until = now.Add(rankFor)
+	c.live.until = now.Add(cacheTTL)
 	return c.live.count
 }
 
-// Met adds a router that was met or told of, or updates it.
+// Met adds or updates a router that has answered or that another one has reported.
 func (c *Controller) Met(m membership.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.Add(m)
-	c.viewChanged()
+	c.dropCaches()
 }
 
-// Registered adds routers that are registered, and removes those that are not any more.
+// Registered adds registered routers, and removes those whose registrations were deleted.
 func (c *Controller) Registered(met []membership.Member, gone []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range gone {
 		c.view.Remove(id)
-		delete(c.notes, id)
+		delete(c.failureLogs, id)
 	}
 	for _, m := range met {
 		c.view.Add(m)
 	}
-	c.live = counted{}
-	c.viewChanged()
+	c.live = cachedCount{}
+	c.dropCaches()
 }
 
-// Retain removes all routers but this one and those to be kept.
+// Retain removes all routers except this one and those that keep accepts.
 func (c *Controller) Retain(keep func(id string) bool) {
 	var gone []string
 	for _, m := range c.Members() {
@@ -304,48 +301,48 @@
 	c.Registered(nil, gone)
 }
 
-// Restarted notes that another process than the known one runs at a router.
+// Restarted records that a router runs a process other than the known one.
 func (c *Controller) Restarted(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.SetIncarnation(id, "")
 }
 
-// Domains returns the failure domains of the listed routers, in order. The caller must not change
-// them.
+// Domains returns the sorted failure domains of the listed routers. The caller must not modify
+// the slice.
 func (c *Controller) Domains() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Domains()
 }
 
-// DomainSize returns how many listed routers a failure domain has.
+// DomainSize returns the number of listed routers in a failure domain.
 func (c *Controller) DomainSize(domain string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.DomainSize(domain)
 }
 
-// Suspected tells whether a call to a router failed lately.
+// Suspected reports whether a call to a router failed recently.
 func (c *Controller) Suspected(now time.Time, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Suspected(now, id)
 }
 
-// Failed records that a call to a member failed, and why.
+// Failed records that a call to a member failed, and logs the cause.
 func (c *Controller) Failed(id string, cause error) {
-	if id == c.self.ID || c.excused() {
+	if id == c.self.ID || c.ignoreFailures() {
 		return
 	}
 	c.mu.Lock()
 	now := clock.Now()
 	known := c.view.Suspected(now, id)
 	c.view.Failed(now, id)
-	c.viewChanged()
+	c.dropCaches()
 	leftOut, due := int64(0), false
 	if !known {
-		leftOut, due = c.sparse(id).Due(now, noteEvery)
+		leftOut, due = c.failureLog(id).Due(now, failureLogInterval)
 	}
 	c.mu.Unlock()
 	if due {
@@ -353,15 +350,16 @@
 	}
 }
 
-// noteEvery bounds the lines about one router that is passed over.
-const noteEvery = 2 * time.Second
+// failureLogInterval is the minimum time between two log lines about failed calls to the same
+// router.
+const failureLogInterval = 2 * time.Second
 
-// sparse bounds the lines about a router. It is called under the lock.
-func (c *Controller) sparse(id string) *logs.Sparse {
-	if c.notes[id] == nil {
-		c.notes[id] = &logs.Sparse{}
+// failureLog returns the rate limit of log lines about a router. The caller holds the lock.
+func (c *Controller) failureLog(id string) *logs.Sparse {
+	if c.failureLogs[id] == nil {
+		c.failureLogs[id] = &logs.Sparse{}
 	}
-	return c.notes[id]
+	return c.failureLogs[id]
 }
 
 // Reached records that a member answered.
@@ -369,7 +367,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view.Suspected(clock.Now(), id) {
-		c.viewChanged()
+		c.dropCaches()
 	}
 	c.view.Reached(id)
 }
@@ -379,5 +377,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.SetLeaving(id)
-	c.viewChanged()
+	c.dropCaches()
 }
--- a/controller/members/suspended_test.go
+++ b/controller/members/suspended_test.go
@@ -17,8 +17,8 @@
 	return membership.Member{ID: id, Kind: "router", Addr: id, State: membership.Live}
 }
 
-// TestSuspicionEndsDuringSuspension: a router that did not answer before is asked again
-// after waking, though the steady clock has hardly gone on.
+// Guards against a suspicion that outlasts a suspension of the machine, during which the
+// monotonic clock hardly advances: the router must be usable again on resume.
 func TestSuspicionEndsDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := clocktest.New(t)
