--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,9 +1,9 @@
-// Package membership keeps one router's view of the other routers and ranks
-// them for controller roles. It is pure: callers pass the time.
+// Package membership holds one router's view of the other routers and ranks
+// them for controller roles. It has no side effects: callers pass the time.
 //
-// No role rests on this view for safety. Two routers that both believe to be
-// a budget's home or a shard's owner are kept apart by the store's
-// conditional updates, never by who is in the list.
+// No safety property depends on this view. If two routers both assume that
+// they own a budget or a shard, the store's conditional updates resolve the
+// conflict, not the list.
 package membership
 
 import (
@@ -25,7 +25,7 @@
 	Leaving State = "leaving"
 )
 
-// Member is one router instance of the platform's list.
+// Member is an instance of the platform's list.
 type Member struct {
 	// ID is the instance's name, unique in the fleet.
 	ID string `json:"id"`
@@ -38,75 +38,75 @@
 	Domain string `json:"domain"`
 	// State is live or leaving.
 	State State `json:"state"`
-	// LinkMbps is the capacity of its network link, 0 if it is not known. Tasks
-	// for others go to those with the largest.
+	// LinkMbps is the capacity of its network link, or 0 if unknown. Roles that
+	// serve other routers go to the members with the largest links.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
-	// Incarnation is the process that runs at the instance, as far as known.
+	// Incarnation is the last known process of the instance.
 	Incarnation string `json:"incarnation,omitempty"`
 }
 
-// suspectFor is how long a failed peer is ranked behind the others.
+// suspectFor is how long a member is suspected after a failed call.
 const suspectFor = 2 * time.Second
 
 // View is one router's knowledge of the members. It is not safe for
 // concurrent use.
 type View struct {
-	self    string
-	members map[string]Member
-	suspect map[string]time.Time
-	left    map[string]bool
-	// orders are the listed members by role, in the order of Largest. They are dropped when the
+	self         string
+	members      map[string]Member
+	suspectUntil map[string]time.Time
+	leaving      map[string]bool
+	// orders caches the listed members by role, in the order of Largest. It is cleared when the
 	// list changes.
 	orders map[string][]string
-	// domains are the failure domains of the members, in order, and sizes how many members each
-	// has; nil: they are to be worked out anew.
-	domains []string
-	sizes   map[string]int
+	// domains caches the sorted failure domains of the members, and domainSizes the number of members
+	// of each. They are nil until computed.
+	domains     []string
+	domainSizes map[string]int
 }
 
-// changed drops what was worked out from the list.
-func (v *View) changed() {
+// dropCaches drops the caches that are computed from the list.
+func (v *View) dropCaches() {
 	clear(v.orders)
-	v.domains, v.sizes = nil, nil
+	v.domains, v.domainSizes = nil, nil
 }
 
-// Domains returns the failure domains of the listed members, in order. The caller must not change
-// them.
+// Domains returns the sorted failure domains of the listed members. The caller must not modify
+// the slice.
 func (v *View) Domains() []string {
 	v.countDomains()
 	return v.domains
 }
 
-// DomainSize returns how many listed members a failure domain has.
+// DomainSize returns the number of listed members in a failure domain.
 func (v *View) DomainSize(domain string) int {
 	v.countDomains()
-	return v.sizes[domain]
+	return v.domainSizes[domain]
 }
 
 func (v *View) countDomains() {
 	if v.domains != nil {
 		return
 	}
-	v.sizes = map[string]int{}
+	v.domainSizes = map[string]int{}
 	for _, m := range v.members {
-		v.sizes[m.Domain]++
+		v.domainSizes[m.Domain]++
 	}
-	v.domains = slices.Sorted(maps.Keys(v.sizes))
+	v.domains = slices.Sorted(maps.Keys(v.domainSizes))
 }
 
-// NewView returns a view that holds only the router itself.
+// NewView returns a view that contains only the router itself.
 func NewView(self Member) *View {
 	return &View{
-		self:    self.ID,
-		members: map[string]Member{self.ID: self},
-		suspect: make(map[string]time.Time),
-		left:    make(map[string]bool),
-		orders:  make(map[string][]string),
+		self:         self.ID,
+		members:      map[string]Member{self.ID: self},
+		suspectUntil: make(map[string]time.Time),
+		leaving:      make(map[string]bool),
+		orders:       make(map[string][]string),
 	}
 }
 
-// Add adds a member that was met, or updates it. A member at the same address whose process is not
-// told keeps the one that is known.
+// Add adds or updates a member. If m has no incarnation and the address is unchanged, the known
+// incarnation is kept.
 func (v *View) Add(m Member) {
 	known, had := v.members[m.ID]
 	if m.ID == v.self {
@@ -118,7 +118,7 @@
 	v.members[m.ID] = m
 	known.Incarnation = m.Incarnation
 	if !had || known != m {
-		v.changed()
+		v.dropCaches()
 	}
 }
 
@@ -128,12 +128,12 @@
 		return
 	}
 	delete(v.members, id)
-	delete(v.suspect, id)
-	delete(v.left, id)
-	v.changed()
+	delete(v.suspectUntil, id)
+	delete(v.leaving, id)
+	v.dropCaches()
 }
 
-// SetIncarnation sets the process that runs at a member; empty: it is not known.
+// SetIncarnation sets the process that runs at a member. An empty string means unknown.
 func (v *View) SetIncarnation(id, incarnation string) {
 	if m, ok := v.members[id]; ok && id != v.self {
 		m.Incarnation = incarnation
@@ -141,9 +141,9 @@
 	}
 }
 
-// SetList takes the platform's list. The router always keeps itself, and a
-// member heard to be leaving stays so until the list no longer has it: a
-// stale "live" never overrides the earlier knowledge.
+// SetList replaces the members by the platform's list. The router itself always
+// stays, and a member known to be leaving stays so until it is missing from a
+// list, since a stale list may still report it as live.
 func (v *View) SetList(members []Member) {
 	next := map[string]Member{v.self: v.members[v.self]}
 	for _, m := range members {
@@ -152,44 +152,44 @@
 		}
 		next[m.ID] = m
 	}
-	for id := range v.left {
+	for id := range v.leaving {
 		if _, ok := next[id]; !ok {
-			delete(v.left, id)
+			delete(v.leaving, id)
 		}
 	}
 	v.members = next
-	v.changed()
+	v.dropCaches()
 }
 
-// SetLeaving records that a member said itself that it is leaving.
+// SetLeaving records that a member has announced that it is leaving.
 func (v *View) SetLeaving(id string) {
-	v.left[id] = true
-	v.changed()
+	v.leaving[id] = true
+	v.dropCaches()
 }
 
 // Failed records that a call to the member failed.
 func (v *View) Failed(now time.Time, id string) {
-	v.suspect[id] = now.Add(suspectFor)
+	v.suspectUntil[id] = now.Add(suspectFor)
 }
 
 // Reached records that the member answered.
 func (v *View) Reached(id string) {
-	delete(v.suspect, id)
+	delete(v.suspectUntil, id)
 }
 
-// Suspected tells whether the member failed lately.
+// Suspected reports whether a call to the member failed within suspectFor.
 func (v *View) Suspected(now time.Time, id string) bool {
-	until, ok := v.suspect[id]
+	until, ok := v.suspectUntil[id]
 	return ok && now.Before(until)
 }
 
-// Member returns the member of that id.
+// Member returns the member with the given id.
 func (v *View) Member(id string) (Member, bool) {
 	m, ok := v.members[id]
 	return m, ok
 }
 
-// Members returns all listed members in the order of their ids.
+// Members returns all listed members sorted by id.
 func (v *View) Members() []Member {
 	all := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -199,9 +199,9 @@
 	return all
 }
 
-// usable tells whether the member may take roles.
+// usable reports whether the member may take roles.
 func (v *View) usable(now time.Time, m Member) bool {
-	return m.State == Live && !v.left[m.ID] && !v.Suspected(now, m.ID)
+	return m.State == Live && !v.leaving[m.ID] && !v.Suspected(now, m.ID)
 }
 
 // Rank returns the ids of the usable members for a role, best first, by
@@ -241,8 +241,8 @@
 	return n
 }
 
-// Largest yields the usable members for a role, best first: those with the largest links, by
-// rendezvous hashing. The order is kept until the list changes.
+// Largest yields the usable members for a role, ordered by link capacity and then by rendezvous
+// hashing. The order is cached until the list changes.
 func (v *View) Largest(now time.Time, role string) iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for _, id := range v.order(role) {
@@ -256,14 +256,14 @@
 	}
 }
 
-// order returns the listed members for a role, suspected or not.
+// order returns the live listed members in the order of Largest, including suspected ones.
 func (v *View) order(role string) []string {
 	if ids, ok := v.orders[role]; ok {
 		return ids
 	}
 	list := make([]candidate, 0, len(v.members))
 	for id, m := range v.members {
-		if m.State == Live && !v.left[id] {
+		if m.State == Live && !v.leaving[id] {
 			list = append(list, candidate{id: id, link: m.LinkMbps, score: xxhash.Sum64String(role + "\x00" + id)})
 		}
 	}
@@ -276,8 +276,8 @@
 	return ids
 }
 
-// Precedes tells whether a member is ranked before another one for a role; one that is not listed
-// is ranked last.
+// Precedes reports whether Largest ranks a member before another one for a role. An unlisted
+// member is ranked last.
 func (v *View) Precedes(role, id, other string) bool {
 	m, ok := v.members[id]
 	if !ok {
@@ -291,13 +291,12 @@
 	return candidate{id, m.LinkMbps, score(id)}.precedes(candidate{other, o.LinkMbps, score(other)})
 }
 
-// Owners returns the first members for a role over all listed ones, best first, whether
-// they are suspected or not: the members with the largest links, by rendezvous hashing.
-// So routers that suspect different members agree on the order.
+// Owners returns the first live listed members in the order of Largest, including suspected
+// ones, so that routers that suspect different members agree on the owners.
 func (v *View) Owners(role string, most int) []string {
 	var first []candidate
 	for id, m := range v.members {
-		if m.State != Live || v.left[id] {
+		if m.State != Live || v.leaving[id] {
 			continue
 		}
 		c := candidate{id: id, link: m.LinkMbps, score: xxhash.Sum64String(role + "\x00" + id)}
@@ -317,14 +316,14 @@
 	return ids
 }
 
-// candidate is a member that may become the owner of something.
+// candidate is a member to be ranked for a role.
 type candidate struct {
 	id    string
 	link  float64
 	score uint64
 }
 
-// precedes tells whether a candidate is ranked before another one.
+// precedes reports whether a candidate is ranked before another one.
 func (c candidate) precedes(other candidate) bool {
 	switch {
 	case c.link != other.link:
@@ -336,8 +335,8 @@
 	}
 }
 
-// First returns the best member for a role, or the router itself when no
-// member is usable. It does not sort, so it is cheap on the request path.
+// First returns the best usable member for a role, or the router itself if no
+// member is usable. It does not sort, to be cheap on the request path.
 func (v *View) First(now time.Time, role string) string {
 	best, bestScore := v.self, uint64(0)
 	found := false
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestSuspicionEndsAndMovesFewRoles(t *testing.T) {
+func TestSuspicionExpiresAndMovesFewRoles(t *testing.T) {
 	now := time.Unix(1, 0)
 	v, whole := view(9), view(9)
 	v.Failed(now, "r3")
@@ -42,7 +42,7 @@
 		role := fmt.Sprint("role", i)
 		before := whole.First(now, role)
 		if before != "r3" && v.First(now, role) != before {
-			t.Fatalf("%s moved although its router is well", role)
+			t.Fatalf("%s moved although its router is not suspected", role)
 		}
 		if v.First(now, role) == "r3" {
 			t.Fatalf("%s stays with a suspected router", role)
@@ -57,21 +57,21 @@
 	now := time.Unix(1, 0)
 	v := view(3)
 	v.SetLeaving("r1")
-	v.SetList(list(3)) // the list lags and still has it live
+	v.SetList(list(3)) // a stale list that still reports r1 as live
 	for _, id := range v.Rank(now, "x") {
 		if id == "r1" {
 			t.Fatal("a leaving router is ranked")
 		}
 	}
 	v.SetList(list(1))
-	v.SetList(list(3)) // gone and back: another life
+	v.SetList(list(3)) // r1 was removed and has returned
 	if len(v.Rank(now, "x")) != 3 {
 		t.Fatal("a router that came back is not ranked")
 	}
 }
 
-// The order for a role is that of Largest, whoever is suspected, and follows each change of the
-// list.
+// Guards against a cached order of Largest that is stale after a change of the list, differs from
+// Precedes, or changes for the other members when one is suspected.
 func TestLargestFollowsTheList(t *testing.T) {
 	now := time.Unix(1, 0)
 	v := view(9)
@@ -91,7 +91,7 @@
 	v.Add(membership.Member{ID: "wide", Kind: "router", Domain: "far", State: membership.Live, LinkMbps: 1000})
 	got := order()
 	if got[0] != "wide" || len(got) != 9 || slices.Contains(got, whole[3]) {
-		t.Errorf("%v after a member was removed and a wide one added", got)
+		t.Errorf("%v after a member was removed and one with a large link added", got)
 	}
 	if !v.Precedes("role", got[1], got[2]) || v.Precedes("role", got[2], got[1]) || v.Precedes("role", "unknown", got[2]) {
 		t.Error("Precedes differs from the order")
@@ -102,13 +102,12 @@
 	v.SetIncarnation(got[1], "p1")
 	v.Add(membership.Member{ID: got[1], Kind: "router", State: membership.Live})
 	if m, _ := v.Member(got[1]); m.Incarnation != "p1" {
-		t.Error("the process of a member is forgotten for its registration")
+		t.Error("the registration of a member cleared its incarnation")
 	}
 }
 
-// Guards against routers that suspect different members and so take different ones for the
-// owner of something.
-func TestOwnersAreTheSameWhoeverIsSuspected(t *testing.T) {
+// Guards against routers that disagree on owners because they suspect different members.
+func TestOwnersIgnoreSuspicion(t *testing.T) {
 	now := time.Unix(1, 0)
 	v, whole := view(9), view(9)
 	first := whole.Owners("role", 3)
