--- a/controller/configs/configs.go
+++ b/controller/configs/configs.go
@@ -1,5 +1,5 @@
-// Package configs holds the configuration in force: the newest version that
-// the store or another router has told. It never goes back to an older one.
+// Package configs holds the active configuration: the newest version received
+// from the store or another router. It never reverts to an older one.
 package configs
 
 import (
@@ -13,33 +13,34 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// Decode reads a configuration.
+// Decode decodes a configuration.
 type Decode func(value []byte) (*catalog.Catalog, error)
 
-// Controller is safe for concurrent use. It implements follow.Handler.
+// Controller holds the active configuration. It is safe for concurrent use. It
+// implements follow.Handler.
 type Controller struct {
-	decode  Decode
-	key     string
-	changed func(*catalog.Catalog)
-	log     *zap.Logger
+	decode   Decode
+	key      string
+	onChange func(*catalog.Catalog)
+	log      *zap.Logger
 
 	catalog atomic.Pointer[catalog.Catalog]
 
 	mu     sync.Mutex
-	raw    []byte // the stored form, nil before the first
-	packed []byte // raw compressed, nil until it is asked for
+	raw    []byte // the encoded configuration, nil before the first
+	packed []byte // raw compressed, nil until Packed is called
 }
 
-// New returns a controller without a configuration. It reads the object key;
-// changed is called with each new version, one after the other.
+// New returns a controller without a configuration. It follows the object with
+// the given key; changed is called with each new version, one call at a time.
 func New(key string, decode Decode, changed func(*catalog.Catalog), log *zap.Logger) *Controller {
-	return &Controller{decode: decode, key: key, changed: changed, log: log}
+	return &Controller{decode: decode, key: key, onChange: changed, log: log}
 }
 
-// Catalog returns the configuration in force, or nil.
+// Catalog returns the active configuration, or nil before the first.
 func (c *Controller) Catalog() *catalog.Catalog { return c.catalog.Load() }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the active version, or 0 before the first.
 func (c *Controller) Version() int64 {
 	if cat := c.catalog.Load(); cat != nil {
 		return cat.Version
@@ -62,18 +63,18 @@
 // Advanced implements follow.Handler.
 func (c *Controller) Advanced(int64) {}
 
-// Lost implements follow.Handler. What is known stays in force.
+// Lost implements follow.Handler. The configuration stays active.
 func (c *Controller) Lost() {}
 
 // Regained implements follow.Handler.
 func (c *Controller) Regained() {}
 
-// Take reads a configuration and puts it in force if it is newer; source says
-// in the log where it came from.
+// Take decodes a configuration and activates it if it is newer. source names its
+// origin in the log. Decoding errors are logged, and the active one is kept.
 func (c *Controller) Take(raw []byte, source string) {
 	next, err := guard.Call(func() (*catalog.Catalog, error) { return c.decode(raw) })
 	if err != nil {
-		c.log.Error("configuration is not usable; the last one stays in force", zap.String("source", source), zap.Int64("config", c.Version()), zap.Error(err))
+		c.log.Error("cannot decode configuration; keeping the active version", zap.String("source", source), zap.Int64("config", c.Version()), zap.Error(err))
 		return
 	}
 	c.mu.Lock()
@@ -82,7 +83,7 @@
 		return
 	}
 	c.raw, c.packed = raw, nil
-	c.changed(next)
+	c.onChange(next)
 	c.catalog.Store(next)
 	c.log.Info("configuration in force", zap.Int64("config", next.Version), zap.String("source", source),
 		zap.Int("routes", next.RouteCount()), zap.Int("accounts", len(next.Accounts)))
--- a/controller/configs/configs_test.go
+++ b/controller/configs/configs_test.go
@@ -21,7 +21,7 @@
 	return configs.New("config/main", decode, func(*catalog.Catalog) {}, zap.NewNop())
 }
 
-// large is a configuration with thousands of routes.
+// large returns a configuration with thousands of routes.
 func large(version int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Version":%d,"padding":[`, version)
@@ -67,20 +67,20 @@
 	}
 }
 
-func TestUnreadablePackedConfigurationChangesNothing(t *testing.T) {
+func TestInvalidPackedConfigurationIsIgnored(t *testing.T) {
 	c := controller()
 	c.Take(large(3), "store")
 	if err := c.TakePacked([]byte("no flate"), "r1"); err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid data was accepted")
 	}
 	if c.Version() != 3 {
 		t.Fatalf("version %d", c.Version())
 	}
 }
 
-// TestCutPackedConfigurationIsNotTaken cuts a packed configuration at each of
-// many bytes. The format has no checksum; its last block is its end.
-func TestCutPackedConfigurationIsNotTaken(t *testing.T) {
+// Guards against accepting a truncated configuration, cut at many positions. The
+// compressed format has no checksum; only its final block marks the end.
+func TestTruncatedPackedConfigurationIsRejected(t *testing.T) {
 	from, to := controller(), controller()
 	from.Take(large(7), "store")
 	packed, err := from.Packed()
@@ -100,16 +100,16 @@
 	}
 }
 
-// TestConfigurationThatCannotBeReadEndsNoProcess: every router reads it, and each that
-// starts anew reads it again. The last one stays in force.
-func TestConfigurationThatCannotBeReadEndsNoProcess(t *testing.T) {
-	poisonous := func(raw []byte) (*catalog.Catalog, error) {
+// Guards against a configuration that makes the decoder panic: it would end every router,
+// and end each one again after its restart. The last configuration stays active.
+func TestDecoderPanicDoesNotEndTheRouter(t *testing.T) {
+	panicking := func(raw []byte) (*catalog.Catalog, error) {
 		if string(raw) == "poison" {
 			panic("a fault in reading")
 		}
 		return decode(raw)
 	}
-	c := configs.New("config/main", poisonous, func(*catalog.Catalog) {}, zap.NewNop())
+	c := configs.New("config/main", panicking, func(*catalog.Catalog) {}, zap.NewNop())
 	c.Take(large(3), "store")
 	c.Take([]byte("poison"), "store")
 	if c.Version() != 3 {
--- a/controller/configs/packed.go
+++ b/controller/configs/packed.go
@@ -6,13 +6,13 @@
 	"github.com/gaplink/gaplink/packed"
 )
 
-// maxUnpacked bounds a configuration that another router sends: the store holds
-// nothing larger than a megabyte.
+// maxUnpacked bounds the size of an uncompressed configuration from another router, in
+// bytes. The store accepts no object larger than a megabyte.
 const maxUnpacked = 4 << 20
 
-// Packed returns the configuration in force for another router, compressed: one
-// with thousands of routes would fill a small router's link for seconds. It is
-// nil before the first configuration.
+// Packed returns the active configuration, compressed for another router, or nil
+// before the first configuration. Uncompressed, thousands of routes would saturate
+// a small router's link for seconds.
 func (c *Controller) Packed() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,11 +24,12 @@
 	return c.packed, err
 }
 
-// TakePacked takes what another router's Packed gave; source names that router.
+// TakePacked decompresses and takes a configuration from Packed of another router,
+// which source names.
 func (c *Controller) TakePacked(text []byte, source string) error {
 	raw, err := packed.Unpack(text, maxUnpacked)
 	if err != nil {
-		return trace.Wrap(err, "unpacking the configuration of %s", source)
+		return trace.Wrap(err, "decompressing the configuration from %s", source)
 	}
 	c.Take(raw, source)
 	return nil
