--- a/controller/evacuations/evacuations.go
+++ b/controller/evacuations/evacuations.go
@@ -1,5 +1,5 @@
-// Package evacuations keeps the failure domains that the operator has evacuated: until a domain
-// is restored, no request is sent to its backend servers.
+// Package evacuations tracks the failure domains that the operator has evacuated. No requests are
+// sent to the backend servers of an evacuated domain until it is restored.
 package evacuations
 
 import (
@@ -14,29 +14,30 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// Options are what a controller works with.
+// Options configures a Controller.
 type Options struct {
-	// Changed is called with all evacuated failure domains whenever they change, one
-	// call after the other.
+	// Changed is called with all evacuated failure domains when they change, one call at
+	// a time.
 	Changed func(domains []string)
 	Log     *zap.Logger
 }
 
-// Controller is safe for concurrent use. It implements follow.Handler.
+// Controller tracks the evacuated failure domains. It is safe for concurrent use. It implements
+// follow.Handler.
 type Controller struct {
 	Options
 
 	mu sync.Mutex
-	// since is when this router learnt of each evacuation, by failure domain.
+	// since is when this router learned of each evacuation, by failure domain.
 	since map[string]time.Time
-	// revision is the store's revision at which since was right; 0: none is known.
+	// revision is the store revision that since reflects, or 0 if none is known.
 	revision int64
-	// pending are the evacuated domains by changes whose revision is not known yet; nil: there
-	// are none.
+	// pending is the set of evacuated domains after changes whose revision is not known yet, or
+	// nil without such changes.
 	pending map[string]bool
 }
 
-// New returns a controller that knows of no evacuation.
+// New returns a controller without evacuations.
 func New(o Options) *Controller {
 	return &Controller{Options: o, since: map[string]time.Time{}}
 }
@@ -50,8 +51,8 @@
 	c.Take(domains, revision, "store")
 }
 
-// Changed implements follow.Handler. An object evacuates the failure domain of its name, whatever
-// it holds.
+// Changed implements follow.Handler. An object evacuates the failure domain that it is named
+// after, regardless of its value.
 func (c *Controller) Changed(objects []store.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,8 +77,8 @@
 	}
 }
 
-// Take replaces the evacuated failure domains by those at a revision of the store; source is for
-// the log. An older revision than the known one changes nothing.
+// Take replaces the evacuated failure domains by those at a store revision, unless that revision
+// is not newer than the known one. source names the origin in the log.
 func (c *Controller) Take(domains []string, revision int64, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,15 +86,15 @@
 		return
 	}
 	c.revision = revision
-	changed := c.begin(domains, source)
-	changed = c.end(domains, source) || changed
+	changed := c.addEvacuated(domains, source)
+	changed = c.removeRestored(domains, source) || changed
 	if changed {
 		c.Options.Changed(slices.Sorted(maps.Keys(c.since)))
 	}
 }
 
-// begin notes the failure domains that are evacuated from now on.
-func (c *Controller) begin(domains []string, source string) (changed bool) {
+// addEvacuated adds newly evacuated failure domains. The caller holds the lock.
+func (c *Controller) addEvacuated(domains []string, source string) (changed bool) {
 	for _, domain := range domains {
 		if _, known := c.since[domain]; known || domain == "" {
 			continue
@@ -106,8 +107,8 @@
 	return changed
 }
 
-// end drops the evacuations that have ended.
-func (c *Controller) end(domains []string, source string) (changed bool) {
+// removeRestored removes restored failure domains. The caller holds the lock.
+func (c *Controller) removeRestored(domains []string, source string) (changed bool) {
 	for domain, since := range c.since {
 		if slices.Contains(domains, domain) {
 			continue
@@ -120,28 +121,28 @@
 	return changed
 }
 
-// Domains returns the evacuated failure domains in order.
+// Domains returns the evacuated failure domains, sorted.
 func (c *Controller) Domains() []string {
 	domains, _ := c.Known()
 	return domains
 }
 
-// Known returns the evacuated failure domains in order, and the revision of the store at
-// which that was so; 0: none is known.
+// Known returns the evacuated failure domains, sorted, and the store revision that they
+// reflect, or 0 if none is known.
 func (c *Controller) Known() (domains []string, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.since)), c.revision
 }
 
-// Since returns when this router learnt of each evacuation, by failure domain.
+// Since returns when this router learned of each evacuation, by failure domain.
 func (c *Controller) Since() map[string]time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.since)
 }
 
-// Lost implements follow.Handler. What is known stays in force.
+// Lost implements follow.Handler. Known evacuations stay in effect.
 func (c *Controller) Lost() {}
 
 // Regained implements follow.Handler.
--- a/controller/evacuations/evacuations_test.go
+++ b/controller/evacuations/evacuations_test.go
@@ -10,37 +10,37 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// known is a controller with what it told of itself.
-type known struct {
+// recorder is a controller that records its calls of Changed.
+type recorder struct {
 	*evacuations.Controller
-	told [][]string
+	calls [][]string
 }
 
-func newKnown() *known {
-	k := &known{}
+func newRecorder() *recorder {
+	k := &recorder{}
 	k.Controller = evacuations.New(evacuations.Options{
-		Changed: func(domains []string) { k.told = append(k.told, domains) },
+		Changed: func(domains []string) { k.calls = append(k.calls, domains) },
 		Log:     zap.NewNop(),
 	})
 	return k
 }
 
-func (k *known) change(revision int64, objects ...store.Object) {
+func (k *recorder) change(revision int64, objects ...store.Object) {
 	k.Changed(objects)
 	k.Advanced(revision)
 }
 
-func (k *known) expect(t *testing.T, domains ...string) {
+func (k *recorder) expect(t *testing.T, domains ...string) {
 	t.Helper()
 	if got := k.Domains(); !slices.Equal(got, domains) {
 		t.Fatalf("evacuated: %v, want %v", got, domains)
 	}
 }
 
-// TestEvacuationBeginsAndEnds: an object empties the domain of its name until it is
-// deleted, whatever it holds; others are not touched.
+// Guards against evacuations that depend on an object's value, outlast its deletion or
+// affect other failure domains.
 func TestEvacuationBeginsAndEnds(t *testing.T) {
-	k := newKnown()
+	k := newRecorder()
 	k.Listed(nil, 10)
 	k.change(11, store.Object{Key: "evacuated/a", Value: []byte("null")})
 	k.expect(t, "a")
@@ -48,15 +48,15 @@
 	k.expect(t, "a", "b")
 	k.change(13, store.Object{Key: "evacuated/a", Deleted: true})
 	k.expect(t, "b")
-	if len(k.told) != 3 {
-		t.Fatalf("told %v", k.told)
+	if len(k.calls) != 3 {
+		t.Fatalf("calls of Changed: %v", k.calls)
 	}
 }
 
-// TestOlderNewsChangesNothing: a router that is behind neither empties a domain again
-// nor takes an evacuation back.
-func TestOlderNewsChangesNothing(t *testing.T) {
-	k := newKnown()
+// Guards against an update from a stale router that evacuates a restored domain again or
+// reverts an evacuation.
+func TestStaleUpdateChangesNothing(t *testing.T) {
+	k := newRecorder()
 	k.Listed([]store.Object{{Key: "evacuated/a"}}, 20)
 	k.Take(nil, 19, "r1")
 	k.expect(t, "a")
@@ -67,10 +67,10 @@
 	k.expect(t, "a")
 }
 
-// TestListThatMissedChangesIsTakenWhole: after a gap in the history the list alone
-// counts.
-func TestListThatMissedChangesIsTakenWhole(t *testing.T) {
-	k := newKnown()
+// Guards against evacuations that survive a list without them: after a gap in the change
+// history, the list replaces the whole state.
+func TestListReplacesTheWholeState(t *testing.T) {
+	k := newRecorder()
 	k.Listed([]store.Object{{Key: "evacuated/a"}, {Key: "evacuated/b"}}, 5)
 	k.Listed([]store.Object{{Key: "evacuated/b"}, {Key: "evacuated/"}}, 9)
 	k.expect(t, "b")
