--- a/controller/health/health.go
+++ b/controller/health/health.go
@@ -1,6 +1,6 @@
-// Package health keeps the routes to backend servers current: from the
-// platform's list, from the servers' own reports, and from what other routers
-// tell. The earliest word that a server is leaving wins.
+// Package health updates the routes to backend servers from the platform's list,
+// from the servers' own reports, and from notices of other routers. The first
+// source that reports a server as leaving takes precedence.
 package health
 
 import (
@@ -24,14 +24,14 @@
 )
 
 const (
-	// pollEvery is how often each server is asked by the router ranked first
-	// for it; the others hear of a leaving server from that router.
-	pollEvery   = time.Second
-	pollTimeout = 500 * time.Millisecond
-	tellTimeout = time.Second
+	// pollInterval is the interval at which the router assigned to a server polls
+	// it. That router notifies the others when the server is leaving.
+	pollInterval  = time.Second
+	pollTimeout   = 500 * time.Millisecond
+	noticeTimeout = time.Second
 )
 
-// Controller keeps the routes. It is safe for concurrent use.
+// Controller maintains the routes. It is safe for concurrent use.
 type Controller struct {
 	members *members.Controller
 	engines *engine.Client
@@ -42,7 +42,7 @@
 	routes *route.Routes
 	rng    *rand.Rand
 	listed map[string]membership.State
-	// leaving are the servers that said so, also when no pool has them yet.
+	// leaving is the set of leaving servers, including those in no pool yet.
 	leaving map[string]bool
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// SetState takes a new configuration.
+// SetState applies a new configuration.
 func (c *Controller) SetState(s *table.State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,9 +70,9 @@
 	}
 }
 
-// SetList takes the backend servers of the platform's list. The list lags: a
-// server known to be leaving comes back only after the list itself had it
-// leaving, or not at all, and then live.
+// SetList applies the backend servers of the platform's list. Since the list lags,
+// a server known to be leaving is used again only when the list reports it as live
+// after it reported it as leaving or did not contain it.
 func (c *Controller) SetList(backends []membership.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,9 +91,9 @@
 	c.listed = next
 }
 
-// Run asks the servers ranked here until the context ends.
+// Run polls the servers assigned to this router until the context ends.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -109,17 +109,17 @@
 	c.mu.Lock()
 	ids := c.routes.ServerIDs()
 	c.mu.Unlock()
-	// One ranking a round: ranking for each server would cost servers times
-	// members. Which router asks which server need not be stable.
+	// Rank once per round: ranking for each server would take time proportional to
+	// servers times members. The assignment of servers to routers need not be stable.
 	routers := c.members.Rank(clock.Now(), "poll")
 	for _, id := range ids {
 		if len(routers) > 0 && routers[xxhash.Sum64String(id)%uint64(len(routers))] == c.members.Self().ID {
-			go c.ask(ctx, id)
+			go c.pollServer(ctx, id)
 		}
 	}
 }
 
-func (c *Controller) ask(ctx context.Context, id string) {
+func (c *Controller) pollServer(ctx context.Context, id string) {
 	c.mu.Lock()
 	server, ok := c.routes.Server(id)
 	c.mu.Unlock()
@@ -138,27 +138,28 @@
 	}
 }
 
-// Left marks a server as leaving and, if that is news, tells the other
-// routers.
+// Left marks a server as leaving and notifies the other routers if it was not
+// marked before.
 func (c *Controller) Left(id string) {
 	if c.markLeaving(id) {
 		c.log.Info("backend server is leaving", zap.String("server", id))
-		go c.tell(id)
+		go c.notifyRouters(id)
 	}
 }
 
-func (c *Controller) markLeaving(id string) (news bool) {
+func (c *Controller) markLeaving(id string) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.setLeaving(id)
 }
 
-// setLeaving is called under the lock; it tells whether that is news.
-func (c *Controller) setLeaving(id string) (news bool) {
-	news = !c.leaving[id]
+// setLeaving marks a server as leaving and reports whether it was not marked before.
+// The caller holds the lock.
+func (c *Controller) setLeaving(id string) (changed bool) {
+	changed = !c.leaving[id]
 	c.leaving[id] = true
 	c.routes.SetLeaving(id)
-	return news
+	return changed
 }
 
 // Leaving returns the servers known to be leaving.
@@ -168,17 +169,17 @@
 	return slices.Sorted(maps.Keys(c.leaving))
 }
 
-// askedPeers is how many routers a new one asks what it has missed.
-const askedPeers = 3
+// learnPeers is the number of routers that a new router asks for leaving servers.
+const learnPeers = 3
 
-// Learn asks a few other routers which servers are leaving. A router that has
-// just started must not learn it by sending them work.
+// Learn asks a few other routers which servers are leaving, so that a router that has
+// just started does not send requests to them.
 func (c *Controller) Learn(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
 	asked := 0
 	for _, other := range c.members.Members() {
-		if other.ID == c.members.Self().ID || asked == askedPeers {
+		if other.ID == c.members.Self().ID || asked == learnPeers {
 			continue
 		}
 		resp, err := peer.Call[peer.Empty, peer.LeftAnswer](ctx, c.peers, other.Addr, peer.MethodLeft, &peer.Empty{})
@@ -192,16 +193,16 @@
 	}
 }
 
-// Heard takes another router's word that a server is leaving.
+// Heard marks a server as leaving after a notice of another router.
 func (c *Controller) Heard(id string) { c.markLeaving(id) }
 
-func (c *Controller) tell(id string) {
+func (c *Controller) notifyRouters(id string) {
 	Tell(c.members, c.peers, &peer.LeavingRequest{Kind: "backend", ID: id})
 }
 
-// Tell sends a leaving notice to all other routers, once each.
+// Tell sends a leaving notice once to each other router.
 func Tell(m *members.Controller, p *peer.Client, notice *peer.LeavingRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, other := range m.Members() {
@@ -224,21 +225,21 @@
 	return c.routes.Pick(clock.Now(), c.rng, req)
 }
 
-// Started counts a dispatched attempt.
+// Started records a dispatched attempt.
 func (c *Controller) Started(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.routes.Started(id)
 }
 
-// Finished counts the end of an attempt.
+// Finished records the end of an attempt.
 func (c *Controller) Finished(id string, failed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.routes.Finished(clock.Now(), id, failed)
 }
 
-// Load takes a server's report.
+// Load records the load that a server reported.
 func (c *Controller) Load(id string, load float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
