--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -241,7 +241,7 @@
 // Changed implements follow.Handler.
 func (c *Controller) Changed(objects []store.Object) { c.TakeChanged(changelog.Fresh(objects)) }
 
-// TakeUpdate takes all changes up to a revision as another router has heard them.
+// TakeUpdate applies all changes up to a revision from another router.
 func (c *Controller) TakeUpdate(objects []changelog.Received, revision int64) {
 	c.TakeChanged(objects)
 	c.Advanced(revision)
