--- a/store/counting.go
+++ b/store/counting.go
@@ -12,23 +12,23 @@
 	"github.com/gaplink/gaplink/clock"
 )
 
-// Counts tells how many calls were made since the start.
+// Counts holds the calls and value bytes since the start of the process.
 type Counts struct {
 	// Reads are gets and lists.
 	Reads int64 `json:"reads"`
 	// Writes are creates, updates and deletes.
 	Writes int64 `json:"writes"`
-	// Watches are waiting watches.
+	// Watches are watch calls.
 	Watches int64 `json:"watches"`
 	// BytesOut and BytesIn are the value bytes written and read.
 	BytesOut int64 `json:"bytes_out"`
 	BytesIn  int64 `json:"bytes_in"`
 }
 
-// Call names one kind of call. Each counts at the platform, also one that fails.
+// Call is a kind of store call. The platform counts every call, including failed ones.
 type Call string
 
-// The calls. A list of several pages counts as one here.
+// Kinds of store calls. A list that is read in several pages counts as one call here.
 const (
 	CallGet       Call = "get"
 	CallStaleGet  Call = "stale_get"
@@ -40,19 +40,20 @@
 	CallDelete    Call = "delete"
 )
 
-// Purpose is what a call was made for: the kind of the objects, which is the first
-// part of their keys, and the call.
+// Purpose classifies a call by the kind of the objects, which is the first part of
+// their keys, and the kind of call.
 type Purpose struct {
 	Kind string
 	Call Call
 }
 
-// Counting wraps a store and counts its calls.
+// Counting is a Store that forwards to another store and counts the calls and the
+// value bytes.
 type Counting struct {
-	next           Store
-	bytesO, bytesI atomic.Int64
+	inner             Store
+	bytesOut, bytesIn atomic.Int64
 
-	answered atomic.Pointer[time.Time]
+	lastResponse atomic.Pointer[time.Time]
 
 	mu        sync.Mutex
 	byPurpose map[Purpose]int64
@@ -60,46 +61,47 @@
 
 var _ StaleReader = (*Counting)(nil)
 
-// NewCounting returns a counting store over next.
+// NewCounting returns a store that counts the calls to next.
 func NewCounting(next Store) *Counting {
-	return &Counting{next: next, byPurpose: map[Purpose]int64{}}
+	return &Counting{inner: next, byPurpose: map[Purpose]int64{}}
 }
 
-// ByPurpose returns the calls so far by what they were made for.
+// ByPurpose returns the number of calls since the start, by purpose.
 func (c *Counting) ByPurpose() map[Purpose]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.byPurpose)
 }
 
-func (c *Counting) note(key string, call Call) {
+func (c *Counting) count(key string, call Call) {
 	kind, _, _ := strings.Cut(key, "/")
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byPurpose[Purpose{Kind: kind, Call: call}]++
 }
 
-// Answered tells when the store answered last, whatever call; zero: it has not.
+// Answered returns the time of the last response to any call, or the zero time if
+// there was none.
 func (c *Counting) Answered() time.Time {
-	if t := c.answered.Load(); t != nil {
+	if t := c.lastResponse.Load(); t != nil {
 		return *t
 	}
 	return time.Time{}
 }
 
-// ended notes how a call ended. That there is no such object, or that it has changed, is
-// an answer too.
-func (c *Counting) ended(err error) {
+// recordResponse records the time of a response. ErrNotFound and ErrConflict are responses of
+// the store too; any other error is not.
+func (c *Counting) recordResponse(err error) {
 	if err != nil && !errors.Is(err, ErrNotFound) && !errors.Is(err, ErrConflict) {
 		return
 	}
 	now := clock.Now()
-	c.answered.Store(&now)
+	c.lastResponse.Store(&now)
 }
 
-// Counts returns the calls so far.
+// Counts returns the calls and value bytes since the start.
 func (c *Counting) Counts() Counts {
-	counts := Counts{BytesOut: c.bytesO.Load(), BytesIn: c.bytesI.Load()}
+	counts := Counts{BytesOut: c.bytesOut.Load(), BytesIn: c.bytesIn.Load()}
 	for p, n := range c.ByPurpose() {
 		switch p.Call {
 		case CallWatch:
@@ -115,79 +117,79 @@
 
 // Get implements Store.
 func (c *Counting) Get(ctx context.Context, key string) (Object, error) {
-	c.note(key, CallGet)
-	o, err := c.next.Get(ctx, key)
-	c.ended(err)
-	c.bytesI.Add(int64(len(o.Value)))
+	c.count(key, CallGet)
+	o, err := c.inner.Get(ctx, key)
+	c.recordResponse(err)
+	c.bytesIn.Add(int64(len(o.Value)))
 	return o, err
 }
 
 // Create implements Store.
 func (c *Counting) Create(ctx context.Context, key string, value []byte) (Object, error) {
-	c.note(key, CallCreate)
-	c.bytesO.Add(int64(len(value)))
-	o, err := c.next.Create(ctx, key, value)
-	c.ended(err)
+	c.count(key, CallCreate)
+	c.bytesOut.Add(int64(len(value)))
+	o, err := c.inner.Create(ctx, key, value)
+	c.recordResponse(err)
 	return o, err
 }
 
 // Update implements Store.
 func (c *Counting) Update(ctx context.Context, key string, version int64, value []byte) (Object, error) {
-	c.note(key, CallUpdate)
-	c.bytesO.Add(int64(len(value)))
-	o, err := c.next.Update(ctx, key, version, value)
-	c.ended(err)
+	c.count(key, CallUpdate)
+	c.bytesOut.Add(int64(len(value)))
+	o, err := c.inner.Update(ctx, key, version, value)
+	c.recordResponse(err)
 	return o, err
 }
 
 // Delete implements Store.
 func (c *Counting) Delete(ctx context.Context, key string, version int64) error {
-	c.note(key, CallDelete)
-	err := c.next.Delete(ctx, key, version)
-	c.ended(err)
+	c.count(key, CallDelete)
+	err := c.inner.Delete(ctx, key, version)
+	c.recordResponse(err)
 	return err
 }
 
 // List implements Store.
 func (c *Counting) List(ctx context.Context, prefix string) ([]Object, int64, error) {
-	c.note(prefix, CallList)
-	objects, rev, err := c.next.List(ctx, prefix)
-	c.ended(err)
-	c.listed(objects)
+	c.count(prefix, CallList)
+	objects, rev, err := c.inner.List(ctx, prefix)
+	c.recordResponse(err)
+	c.addBytesIn(objects)
 	return objects, rev, err
 }
 
 // ListStale implements StaleReader.
 func (c *Counting) ListStale(ctx context.Context, prefix string) ([]Object, int64, error) {
-	c.note(prefix, CallStaleList)
-	objects, rev, err := ListStale(ctx, c.next, prefix)
-	c.ended(err)
-	c.listed(objects)
+	c.count(prefix, CallStaleList)
+	objects, rev, err := ListStale(ctx, c.inner, prefix)
+	c.recordResponse(err)
+	c.addBytesIn(objects)
 	return objects, rev, err
 }
 
 // GetStale implements StaleReader.
 func (c *Counting) GetStale(ctx context.Context, key string) (Object, error) {
-	c.note(key, CallStaleGet)
-	o, err := GetStale(ctx, c.next, key)
-	c.ended(err)
-	c.bytesI.Add(int64(len(o.Value)))
+	c.count(key, CallStaleGet)
+	o, err := GetStale(ctx, c.inner, key)
+	c.recordResponse(err)
+	c.bytesIn.Add(int64(len(o.Value)))
 	return o, err
 }
 
-func (c *Counting) listed(objects []Object) {
+func (c *Counting) addBytesIn(objects []Object) {
 	for _, o := range objects {
-		c.bytesI.Add(int64(len(o.Value)))
+		c.bytesIn.Add(int64(len(o.Value)))
 	}
 }
 
 // Watch implements Store.
 func (c *Counting) Watch(ctx context.Context, prefix string, since int64, wait time.Duration) (Events, error) {
-	c.note(prefix, CallWatch)
-	ev, err := c.next.Watch(ctx, prefix, since, wait)
-	c.ended(err)
+	c.count(prefix, CallWatch)
+	ev, err := c.inner.Watch(ctx, prefix, since, wait)
+	c.recordResponse(err)
 	for _, o := range ev.Objects {
-		c.bytesI.Add(int64(len(o.Value)))
+		c.bytesIn.Add(int64(len(o.Value)))
 	}
 	return ev, err
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,9 +1,9 @@
-// Package store is gaplink's one narrow interface to the platform's object
-// API: versioned objects with conditional updates and watches.
+// Package store defines the interface to the platform's object API: versioned
+// objects with conditional updates and watches.
 //
-// Every call counts at the platform, a waiting watch as one, so the package
-// also counts them. Implementations: store/memory (tests and the stand-in's
-// core) and store/httpstore (the platform's HTTP API).
+// The platform counts every call, a long-polling watch as one, so the package
+// counts them as well. Implementations: store/memory (for tests and the platform
+// stand-in) and store/httpstore (the platform's HTTP API).
 package store
 
 import (
@@ -13,47 +13,47 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value the platform holds.
+// MaxValueBytes is the size limit of a value at the platform.
 const MaxValueBytes = 1 << 20
 
-// Errors of a store. Every other error means ErrUnknown.
+// Errors of a store. Callers treat any other error as ErrUnknown.
 var (
 	// ErrNotFound: the object does not exist.
 	ErrNotFound = errors.New("store: object not found")
-	// ErrConflict: the condition did not hold; nothing was changed.
+	// ErrConflict: the precondition failed; nothing was changed.
 	ErrConflict = errors.New("store: version conflict")
-	// ErrUnavailable: the call was refused; it certainly had no effect.
+	// ErrUnavailable: the call was refused and had no effect.
 	ErrUnavailable = errors.New("store: unavailable")
-	// ErrUnknown: no answer came; a change may have taken effect.
+	// ErrUnknown: no response arrived; a write may have taken effect.
 	ErrUnknown = errors.New("store: outcome unknown")
 )
 
 // Object is one stored value.
 type Object struct {
-	// Key names the object; parts are separated by '/'.
+	// Key identifies the object; its parts are separated by '/'.
 	Key string `json:"key"`
 	// Version is the store revision of the last change; 0 means absent.
 	Version int64 `json:"version"`
-	// Value is the content, MaxValueBytes at most.
+	// Value is the content, at most MaxValueBytes.
 	Value []byte `json:"value"`
-	// Deleted marks a deletion in a watch.
+	// Deleted marks a deletion event of a watch.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// NameOf returns the part of a key after its kind.
+// NameOf returns the key without its first part, the kind.
 func NameOf(key string) string {
 	_, name, _ := strings.Cut(key, "/")
 	return name
 }
 
-// Events is the answer of a watch.
+// Events is the result of a watch.
 type Events struct {
 	// Objects are the changed objects, oldest first.
 	Objects []Object `json:"objects"`
-	// Revision is where the next watch goes on.
+	// Revision is the revision from which to continue the watch.
 	Revision int64 `json:"revision"`
-	// Gap tells that events since the asked revision are no longer held, so
-	// that the watcher must list again.
+	// Gap reports that events since the requested revision have been discarded,
+	// so that the watcher must list again.
 	Gap bool `json:"gap,omitempty"`
 }
 
@@ -61,31 +61,31 @@
 type Store interface {
 	// Get reads one object, or fails with ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
-	// Create makes an object, or fails with ErrConflict if it exists.
+	// Create creates an object, or fails with ErrConflict if it exists.
 	Create(ctx context.Context, key string, value []byte) (Object, error)
-	// Update replaces the value if the version still holds. With ErrConflict it
-	// returns the object as it is, if the store tells it; its version is else 0.
+	// Update replaces the value if the version matches. With ErrConflict it returns
+	// the current object if the store reports it; otherwise the version is 0.
 	Update(ctx context.Context, key string, version int64, value []byte) (Object, error)
-	// Delete removes the object if the version still holds.
+	// Delete removes the object if the version matches.
 	Delete(ctx context.Context, key string, version int64) error
-	// List reads all objects under a prefix in the order of their keys, with
-	// the revision from which a watch goes on.
+	// List reads all objects under a prefix, sorted by key, and the revision from
+	// which a watch continues.
 	List(ctx context.Context, prefix string) ([]Object, int64, error)
-	// Watch waits at most wait for changes under prefix after revision since.
+	// Watch waits up to wait for changes under prefix after revision since.
 	Watch(ctx context.Context, prefix string, since int64, wait time.Duration) (Events, error)
 }
 
-// StaleReader is a store that also gives answers which may be some seconds old, for a
-// tenth of the price of others.
+// StaleReader is a store that also offers reads that may be some seconds stale, at a
+// tenth of the cost of other reads.
 type StaleReader interface {
-	// ListStale is List, but neither the objects nor the revision need be the newest.
+	// ListStale is List, except that the objects and the revision may be stale.
 	ListStale(ctx context.Context, prefix string) ([]Object, int64, error)
-	// GetStale is Get, but the object need not be the newest.
+	// GetStale is Get, except that the object may be stale.
 	GetStale(ctx context.Context, key string) (Object, error)
 }
 
-// ListStale lists what may be some seconds old, if the store has that, and else what
-// is newest.
+// ListStale lists objects that may be some seconds stale if s is a StaleReader;
+// otherwise it calls List.
 func ListStale(ctx context.Context, s Store, prefix string) ([]Object, int64, error) {
 	if stale, ok := s.(StaleReader); ok {
 		return stale.ListStale(ctx, prefix)
@@ -93,8 +93,8 @@
 	return s.List(ctx, prefix)
 }
 
-// GetStale reads what may be some seconds old, if the store has that, and else what
-// is newest.
+// GetStale reads an object that may be some seconds stale if s is a StaleReader;
+// otherwise it calls Get.
 func GetStale(ctx context.Context, s Store, key string) (Object, error) {
 	if stale, ok := s.(StaleReader); ok {
 		return stale.GetStale(ctx, key)
@@ -102,7 +102,8 @@
 	return s.Get(ctx, key)
 }
 
-// Put writes value under key: a create for version 0, else an update.
+// Put writes value under key: it creates the object for version 0 and updates it
+// otherwise.
 func Put(ctx context.Context, s Store, key string, version int64, value []byte) (Object, error) {
 	if version == 0 {
 		return s.Create(ctx, key, value)
