--- a/store/httpstore/httpstore.go
+++ b/store/httpstore/httpstore.go
@@ -1,8 +1,8 @@
-// Package httpstore speaks the platform's HTTP object API.
+// Package httpstore implements a client of the platform's HTTP object API.
 //
-// Objects are read and written under /v1/objects/KEY; If-Match carries the
-// version of a conditional update and If-None-Match: * a create. An answer
-// that does not arrive is ErrUnknown: the change may have taken effect.
+// Objects are read and written under /v1/objects/KEY. If-Match carries the
+// version of a conditional update; If-None-Match: * marks a create. A missing
+// response is ErrUnknown because the change may have taken effect.
 package httpstore
 
 import (
@@ -23,13 +23,13 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// VersionHeader carries an object's version in answers.
+// VersionHeader is the response header that carries an object's version.
 const VersionHeader = "Gaplink-Store-Version"
 
-// watchSlack is added to a watch's wait before the client gives up.
+// watchSlack is added to the wait of a watch to form the client's timeout.
 const watchSlack = 2 * time.Second
 
-// Client is a store over HTTP, and a reader of the platform's instance list.
+// Client is a store over HTTP. It also reads the platform's instance list.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -39,7 +39,7 @@
 var _ store.Store = (*Client)(nil)
 
 // New returns a client of the API at base (such as "http://127.0.0.1:9000")
-// that gives up on a call after timeout.
+// whose calls time out after timeout.
 func New(base string, timeout time.Duration) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 64,
@@ -73,7 +73,7 @@
 func (c *Client) List(ctx context.Context, prefix string) ([]store.Object, int64, error) {
 	ev, err := c.events(ctx, c.timeout, "/v1/list?prefix="+url.QueryEscape(prefix))
 	if err == nil && ev.Gap {
-		err = store.ErrUnknown // a list has no history to miss
+		err = store.ErrUnknown // only a watch can have a gap
 	}
 	return ev.Objects, ev.Revision, err
 }
@@ -84,8 +84,8 @@
 	return c.events(ctx, wait+watchSlack, path)
 }
 
-// events reads a list or a watch. An answer without a revision is neither: it
-// does not say that there are no objects or no changes.
+// events reads a list or a watch. A response without a revision is ErrUnknown: it
+// doesn't show that there are no objects or no changes.
 func (c *Client) events(ctx context.Context, timeout time.Duration, path string) (store.Events, error) {
 	var got struct {
 		store.Events
@@ -102,14 +102,14 @@
 	return got.Events, nil
 }
 
-// Instances reads the platform's list of live and leaving instances.
+// Instances reads the platform's list of live and draining instances.
 func (c *Client) Instances(ctx context.Context) ([]membership.Member, error) {
 	var members []membership.Member
 	if err := c.json(ctx, c.timeout, "/v1/instances", &members); err != nil {
 		return nil, err
 	}
 	if members == nil {
-		return nil, store.ErrUnknown // null is no list, and not one of no instance
+		return nil, store.ErrUnknown // null is not an empty list
 	}
 	return members, nil
 }
@@ -140,7 +140,7 @@
 	if err != nil {
 		return store.Object{}, store.ErrUnknown
 	}
-	if method == http.MethodGet && !endProved(resp) {
+	if method == http.MethodGet && !bodyComplete(resp) {
 		return store.Object{}, store.ErrUnknown
 	}
 	if method == http.MethodGet {
@@ -174,13 +174,13 @@
 	return nil
 }
 
-// endProved tells whether the framing or the trailer of gzip marks the end of the
-// body. Nothing in a value tells its end, so that one that was cut by a close would
-// look whole.
-func endProved(resp *http.Response) bool { return framing.Proved(resp) || resp.Uncompressed }
+// bodyComplete reports whether the HTTP framing or the gzip trailer marks the end of the
+// body. A value has no end marker of its own, so a value truncated by a connection
+// close would look complete.
+func bodyComplete(resp *http.Response) bool { return framing.Proved(resp) || resp.Uncompressed }
 
-// transportError tells a call that was never sent from one whose answer is
-// missing.
+// transportError returns ErrUnavailable if the connection could not be opened, so
+// that the call was never sent, and ErrUnknown if the response is missing.
 func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/store/httpstore/httpstore_test.go
+++ b/store/httpstore/httpstore_test.go
@@ -16,8 +16,9 @@
 	"github.com/gaplink/gaplink/store/httpstore"
 )
 
-// rawStore answers one call a connection with these bytes and closes it.
-func rawStore(t *testing.T, answer string) *httpstore.Client {
+// newClientOf returns a client of a server that writes answer on each connection and
+// closes it.
+func newClientOf(t *testing.T, answer string) *httpstore.Client {
 	t.Helper()
 	addr := tcptest.Listen(t, func(c net.Conn, _ int) { tcptest.AnswerOnce(c, answer) })
 	return httpstore.New("http://"+addr, time.Second)
@@ -25,11 +26,11 @@
 
 const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + httpstore.VersionHeader + ": 5\r\n"
 
-func byLength(body string) string {
+func withContentLength(body string) string {
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-func zipped(body string) string {
+func gzipped(body string) string {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	_, _ = io.WriteString(w, body)
@@ -37,26 +38,26 @@
 	return b.String()
 }
 
-// TestValueNeedsProofOfItsEnd: a value is the bare body, so that only HTTP's
-// framing tells whether it is whole; one with neither a length nor chunks was
-// taken as whole when the connection ended.
-func TestValueNeedsProofOfItsEnd(t *testing.T) {
+// TestTruncatedValueIsRejected checks that a value counts only if the HTTP framing
+// shows its end. A body with neither Content-Length nor chunked encoding was accepted
+// as complete when the connection closed.
+func TestTruncatedValueIsRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		ok     bool
 	}{
-		"length":           {byLength("value"), true},
-		"empty, by length": {byLength(""), true},
+		"length":           {withContentLength("value"), true},
+		"empty, by length": {withContentLength(""), true},
 		"last chunk":       {head + "Transfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n0\r\n\r\n", true},
 		"length, cut":      {head + "Content-Length: 5\r\n\r\nval", false},
 		"no last chunk":    {head + "Transfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n", false},
-		"gzip":             {head + "Content-Encoding: gzip\r\n\r\n" + zipped("value"), true},
-		"gzip, cut":        {head + "Content-Encoding: gzip\r\n\r\n" + zipped("value")[:len(zipped("value"))-1], false},
+		"gzip":             {head + "Content-Encoding: gzip\r\n\r\n" + gzipped("value"), true},
+		"gzip, cut":        {head + "Content-Encoding: gzip\r\n\r\n" + gzipped("value")[:len(gzipped("value"))-1], false},
 		"unframed":         {head + "\r\nvalue", false},
 		"unframed, empty":  {head + "\r\n", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, err := rawStore(t, c.answer).Get(context.Background(), "k/a")
+			o, err := newClientOf(t, c.answer).Get(context.Background(), "k/a")
 			if c.ok != (err == nil) || !c.ok && !errors.Is(err, store.ErrUnknown) {
 				t.Fatalf("%q, %v", o.Value, err)
 			}
@@ -64,10 +65,11 @@
 	}
 }
 
-// TestListsNeedTheirEnd: answers without a revision were lists of nothing and
-// watches without changes, a list of instances of null was one of no instance,
-// and what followed the first JSON value was not read, nor whether its end came.
-func TestListsNeedTheirEnd(t *testing.T) {
+// TestIncompleteListIsRejected checks that lists and watches count only if they are
+// complete. A response without a revision was taken for an empty list or a watch without
+// changes, and a null instance list for an empty one. Data after the first JSON value
+// was not read, and neither was the end of the body.
+func TestIncompleteListIsRejected(t *testing.T) {
 	const list, instances = `{"objects":[],"revision":4}`, `[{"id":"r1"}]`
 	ctx := context.Background()
 	calls := map[string]func(*httpstore.Client) error{
@@ -75,28 +77,28 @@
 		"watch":     func(c *httpstore.Client) error { _, err := c.Watch(ctx, "k/", 3, time.Millisecond); return err },
 		"instances": func(c *httpstore.Client) error { _, err := c.Instances(ctx); return err },
 	}
-	whole := map[string]string{"list": list, "watch": list, "instances": instances}
+	complete := map[string]string{"list": list, "watch": list, "instances": instances}
 	for name, call := range calls {
-		body := whole[name]
-		if err := call(rawStore(t, byLength(body))); err != nil {
+		body := complete[name]
+		if err := call(newClientOf(t, withContentLength(body))); err != nil {
 			t.Errorf("%s, whole: %v", name, err)
 		}
-		short := []string{byLength(`{}`), byLength(`null`), byLength(body + "x"),
+		incomplete := []string{withContentLength(`{}`), withContentLength(`null`), withContentLength(body + "x"),
 			fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body)+9, body),
 			fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", head, len(body), body)}
 		for n := range len(body) {
-			short = append(short, head+"\r\n"+body[:n])
+			incomplete = append(incomplete, head+"\r\n"+body[:n])
 		}
-		for _, answer := range short {
-			if err := call(rawStore(t, answer)); !errors.Is(err, store.ErrUnknown) {
+		for _, answer := range incomplete {
+			if err := call(newClientOf(t, answer)); !errors.Is(err, store.ErrUnknown) {
 				t.Errorf("%s, %q: %v", name, answer[len(head):], err)
 			}
 		}
 	}
-	if err := calls["list"](rawStore(t, byLength(`{"gap":true}`))); !errors.Is(err, store.ErrUnknown) {
+	if err := calls["list"](newClientOf(t, withContentLength(`{"gap":true}`))); !errors.Is(err, store.ErrUnknown) {
 		t.Errorf("a list with a gap: %v", err)
 	}
-	if err := calls["watch"](rawStore(t, byLength(`{"gap":true}`))); err != nil {
+	if err := calls["watch"](newClientOf(t, withContentLength(`{"gap":true}`))); err != nil {
 		t.Errorf("a gap needs no revision: %v", err)
 	}
 }
