--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is a store held in memory: the core of the platform
-// stand-in, and the store of tests.
+// Package memory implements an in-memory store for the platform stand-in and for
+// tests.
 package memory
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// keptEvents bounds how many changes a watch can look back.
-const keptEvents = 20000
+// maxEvents is the number of past changes that a watch can return.
+const maxEvents = 20000
 
 // Store is an in-memory store. The zero value is not ready; use New.
 type Store struct {
-	mu       sync.Mutex
-	objects  map[string]store.Object
-	revision int64
-	events   []store.Object
-	first    int64 // the revision before events[0]
-	changed  chan struct{}
+	mu            sync.Mutex
+	objects       map[string]store.Object
+	revision      int64
+	events        []store.Object
+	discardedUpTo int64 // the revision that precedes events[0]
+	changed       chan struct{}
 }
 
 var _ store.Store = (*Store)(nil)
@@ -98,7 +98,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		ev, changed := s.since(prefix, since)
+		ev, changed := s.eventsAfter(prefix, since)
 		if len(ev.Objects) > 0 || ev.Gap {
 			return ev, nil
 		}
@@ -112,12 +112,12 @@
 	}
 }
 
-// since returns the held events after a revision and the channel that closes
+// eventsAfter returns the retained events after a revision and a channel that is closed
 // at the next change.
-func (s *Store) since(prefix string, since int64) (store.Events, chan struct{}) {
+func (s *Store) eventsAfter(prefix string, since int64) (store.Events, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ev := store.Events{Revision: s.revision, Gap: since < s.first}
+	ev := store.Events{Revision: s.revision, Gap: since < s.discardedUpTo}
 	if ev.Gap {
 		return ev, s.changed
 	}
@@ -130,7 +130,7 @@
 	return ev, s.changed
 }
 
-// put records a change under the lock.
+// put records a change. The caller must hold s.mu.
 func (s *Store) put(o store.Object) store.Object {
 	s.revision++
 	o.Version = s.revision
@@ -140,8 +140,8 @@
 		s.objects[o.Key] = o
 	}
 	s.events = append(s.events, o)
-	if len(s.events) > keptEvents {
-		s.first = s.events[0].Version
+	if len(s.events) > maxEvents {
+		s.discardedUpTo = s.events[0].Version
 		s.events = s.events[1:]
 	}
 	close(s.changed)
