--- a/store/standin/standin.go
+++ b/store/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a small stand-in for the platform: the object API, the
-// lagging instance list, call counts and a rate limit, with injectable delay,
-// outage and lost answers. It is for tests, `make run` and `make demo`.
+// Package standin implements a small stand-in for the platform: the object API, the
+// delayed instance list, call counts and a rate limit, with injectable delay, outage
+// and lost responses. It is used by tests, `make run` and `make demo`.
 package standin
 
 import (
@@ -29,12 +29,12 @@
 	DelayMillis int `json:"delay_ms"`
 	// Outage refuses every call.
 	Outage bool `json:"outage"`
-	// Hang holds every call without an answer until the caller gives up.
+	// Hang blocks every call without a response until the caller cancels it.
 	Hang bool `json:"hang"`
-	// LoseAnswers is the share (0 to 1) of writes that take effect and whose
-	// answer is lost.
+	// LoseAnswers is the fraction (0 to 1) of writes that take effect but whose
+	// response is lost.
 	LoseAnswers float64 `json:"lose_answers"`
-	// ListLagMillis is how old the instance list is that readers see.
+	// ListLagMillis is the age of the instance list that readers receive.
 	ListLagMillis int `json:"list_lag_ms"`
 }
 
@@ -46,7 +46,7 @@
 	Reads float64 `json:"reads"`
 }
 
-// listVersion is one state of the instance list.
+// listVersion is the instance list from a point in time on.
 type listVersion struct {
 	at      time.Time
 	members map[string]membership.Member
@@ -65,8 +65,8 @@
 	list   []listVersion
 }
 
-// New returns a platform with the given limits; seed fixes which answers are
-// lost.
+// New returns a platform with the given limits; seed determines which responses
+// are lost.
 func New(limits Limits, seed uint64) *Platform {
 	p := &Platform{
 		objects: store.NewCounting(memory.New()),
@@ -112,20 +112,20 @@
 	p.faults = f
 }
 
-// SetInstance puts an instance into the list.
+// SetInstance adds or replaces an instance in the list.
 func (p *Platform) SetInstance(m membership.Member) {
 	p.changeList(func(members map[string]membership.Member) { members[m.ID] = m })
 }
 
-// RemoveInstance takes an instance out of the list.
+// RemoveInstance removes an instance from the list.
 func (p *Platform) RemoveInstance(id string) {
 	p.changeList(func(members map[string]membership.Member) { delete(members, id) })
 }
 
-// Counts returns the calls that reached the object API.
+// Counts returns the calls that the object store received; refused calls are not counted.
 func (p *Platform) Counts() store.Counts { return p.objects.Counts() }
 
-// Objects gives tests the store behind the HTTP API, without faults.
+// Objects returns the store behind the HTTP API, without faults, for tests.
 func (p *Platform) Objects() store.Store { return p.objects }
 
 func (p *Platform) changeList(change func(map[string]membership.Member)) {
@@ -139,8 +139,8 @@
 	p.list = append(p.list, listVersion{at: time.Now(), members: next})
 }
 
-// admit applies delay, outage and rate limit; false means that the call was
-// refused and answered.
+// admit applies the injected hang, delay and outage and the rate limit. It returns
+// false if the call has been refused or was cancelled while it hung.
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request, limit *rate.Limiter) bool {
 	p.mu.Lock()
 	f := p.faults
@@ -157,8 +157,8 @@
 	return true
 }
 
-// loses decides by the seeded source whether a write's answer is lost.
-func (p *Platform) loses() bool {
+// losesResponse draws from the seeded source whether the response to a write is lost.
+func (p *Platform) losesResponse() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults.LoseAnswers > 0 && p.rng.Float64() < p.faults.LoseAnswers
@@ -199,7 +199,7 @@
 }
 
 func (p *Platform) answerWrite(w http.ResponseWriter, o store.Object, err error) {
-	if err == nil && p.loses() {
+	if err == nil && p.losesResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	p.answer(w, o, err, nil)
