--- a/table/csv.go
+++ b/table/csv.go
@@ -12,13 +12,13 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// Columns are the CSV columns in order. The last one carries the row's
-// revision, which makes the round trip one conditional change.
+// Columns lists the CSV columns in order. The last one is the row's revision, so that
+// an edited file is applied as one conditional change.
 var Columns = []string{"account", "target", "site", "weight", "max_in_flight", "rate_per_second", "tokens_per_second", "priority", "revision"}
 
-// endMark is the only field of the last line. Without it a file that was cut
-// between two lines would be a table without the rows behind the cut, and they
-// would be deleted.
+// endMark is the only field of the last line. Without it a file that was truncated
+// between two lines would read as a complete table, and the missing rows would be
+// deleted.
 const endMark = "# end"
 
 // RowRevision is a row with the revision of its last change.
@@ -27,7 +27,7 @@
 	Revision int64 `json:"revision"`
 }
 
-// RowList returns all rows of a state in the order of their names.
+// RowList returns all rows of a state, sorted by name.
 func RowList(s *State) []RowRevision {
 	var list []RowRevision
 	for name, r := range s.Rows {
@@ -37,7 +37,7 @@
 	return list
 }
 
-// WriteCSV writes rows with a header and an end mark.
+// WriteCSV writes the rows between a header and an end mark.
 func WriteCSV(w io.Writer, rows []RowRevision) error {
 	out := csv.NewWriter(w)
 	if err := out.Write(Columns); err != nil {
@@ -67,10 +67,10 @@
 	}
 }
 
-// ReadCSV reads rows as WriteCSV writes them. Errors name line and column.
+// ReadCSV reads rows in the format of WriteCSV. Errors name the line and the column.
 func ReadCSV(r io.Reader) ([]RowRevision, error) {
 	in := csv.NewReader(r)
-	in.FieldsPerRecord = -1 // the end mark is alone in its line
+	in.FieldsPerRecord = -1 // the line of the end mark has one field
 	records, err := in.ReadAll()
 	if err != nil {
 		return nil, result.New(result.BadRow, "table file: %v", err)
@@ -79,7 +79,7 @@
 		return nil, result.New(result.BadRow, "table file: line 1 must read %s", strings.Join(Columns, ","))
 	}
 	last := len(records) - 1
-	if !isEnd(records[last]) {
+	if !isEndMark(records[last]) {
 		return nil, result.New(result.BadRow, "table file: the last line must read %q; the file may have been cut", endMark)
 	}
 	var rows []RowRevision
@@ -93,9 +93,9 @@
 	return rows, nil
 }
 
-// isEnd tells whether a line is the end mark. A program that saves a table may
-// have added empty fields to it.
-func isEnd(record []string) bool {
+// isEndMark reports whether a line is the end mark. Spreadsheet programs may append empty
+// fields to it.
+func isEndMark(record []string) bool {
 	return record[0] == endMark && strings.Join(record[1:], "") == ""
 }
 
@@ -112,7 +112,7 @@
 	return r, nil
 }
 
-// setColumn sets one column from its text form.
+// setColumn parses text and sets the column.
 func (r *RowRevision) setColumn(column, text string) error {
 	var err error
 	switch column {
@@ -161,8 +161,7 @@
 	return edited.Row, nil
 }
 
-// ParseName splits a row's name ACCOUNT/TARGET/SITE. The target may contain
-// slashes.
+// ParseName parses a row's name, ACCOUNT/TARGET/SITE. The target may contain slashes.
 func ParseName(name string) (Row, error) {
 	parts := strings.Split(name, "/")
 	if len(parts) < 3 {
@@ -172,8 +171,8 @@
 	return Row{Account: parts[0], Target: strings.Join(parts[1:last], "/"), Site: parts[last]}, nil
 }
 
-// DiffRows returns the edits that turn the rows that an operator was shown
-// into the edited ones; each edit expects the revision shown.
+// DiffRows returns the edits that turn the rows shown to an operator into the edited
+// rows. Each edit expects the revision that was shown.
 func DiffRows(shown, edited []RowRevision) []Edit {
 	before := map[string]RowRevision{}
 	for _, r := range shown {
@@ -195,16 +194,17 @@
 	return edits
 }
 
-// RowEdit returns the edit that sets a row seen at a revision.
+// RowEdit returns the edit that sets a row, expecting it at revision expect.
 func RowEdit(r Row, expect int64) Edit {
 	return NewEdit(KindRow, r.Name(), expect, r)
 }
 
-// NewEdit returns the edit that sets an object seen at a revision.
+// NewEdit returns the edit that sets an object, expecting it at revision expect. It
+// panics if v can't be encoded as JSON.
 func NewEdit(kind Kind, name string, expect int64, v any) Edit {
 	value, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain values always encode
+		panic(err) // the configuration types always encode
 	}
 	return Edit{Kind: kind, Name: name, Expect: expect, Value: value}
 }
@@ -215,7 +215,7 @@
 	return v, err
 }
 
-// rowAffects tells whether the named row applies to an account and target.
+// rowAffects reports whether the named row applies to an account and target.
 func rowAffects(name, account, target string) bool {
 	r, err := ParseName(name)
 	return err == nil && r.Target == target && (r.Account == Any || r.Account == account)
--- a/table/csv_test.go
+++ b/table/csv_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func written(t *testing.T) string {
+func csvText(t *testing.T) string {
 	t.Helper()
 	var b bytes.Buffer
 	if err := table.WriteCSV(&b, twoRows()); err != nil {
@@ -25,25 +25,25 @@
 	return b.String()
 }
 
-// TestCutCSVIsNotATable: a file that was cut between two lines was the whole
-// table, so that an edit with a base deleted the rows behind the cut, and one
-// that was cut in its last number had another. Nothing in the file told its end.
-func TestCutCSVIsNotATable(t *testing.T) {
-	whole := strings.TrimRight(written(t), "\n")
-	for n := range len(whole) {
-		if rows, err := table.ReadCSV(strings.NewReader(whole[:n])); err == nil {
-			t.Errorf("cut at %d, after %q: %d rows", n, whole[max(n-20, 0):n], len(rows))
+// TestTruncatedCSVIsRejected checks that every truncated file is refused. Without an end
+// mark, a file truncated between two lines read as a complete table, so that an edit with
+// a base deleted the missing rows; a file truncated in its last number had another value.
+func TestTruncatedCSVIsRejected(t *testing.T) {
+	complete := strings.TrimRight(csvText(t), "\n")
+	for n := range len(complete) {
+		if rows, err := table.ReadCSV(strings.NewReader(complete[:n])); err == nil {
+			t.Errorf("cut at %d, after %q: %d rows", n, complete[max(n-20, 0):n], len(rows))
 		}
 	}
-	if rows, err := table.ReadCSV(strings.NewReader(whole)); err != nil || len(rows) != 2 {
+	if rows, err := table.ReadCSV(strings.NewReader(complete)); err != nil || len(rows) != 2 {
 		t.Errorf("whole: %+v, %v", rows, err)
 	}
 }
 
-// TestCSVOfASpreadsheetIsRead: programs that save a table fill each line up to
-// the number of columns, and may end lines in CR LF.
+// TestCSVOfASpreadsheetIsRead checks files as spreadsheet programs save them: each line
+// is padded to the number of columns and may end in CR LF.
 func TestCSVOfASpreadsheetIsRead(t *testing.T) {
-	lines := strings.Split(strings.TrimRight(written(t), "\n"), "\n")
+	lines := strings.Split(strings.TrimRight(csvText(t), "\n"), "\n")
 	for i, l := range lines {
 		lines[i] = l + strings.Repeat(",", len(table.Columns)-1-strings.Count(l, ","))
 	}
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestCSVErrorsNameTheLine: a row of too few or too many columns is an error
-// with its line, and so is a row behind the end.
+// TestCSVErrorsNameTheLine checks that the error for a row with too few or too many
+// columns names its line, and that rows after the end mark are refused.
 func TestCSVErrorsNameTheLine(t *testing.T) {
-	lines := strings.SplitAfter(written(t), "\n")
+	lines := strings.SplitAfter(csvText(t), "\n")
 	for name, text := range map[string]string{
 		"too few":        lines[0] + lines[1] + "a,m,x,1\n" + strings.Join(lines[3:], ""),
 		"too many":       lines[0] + lines[1] + "a,m,x,1,0,0,0,0,9,9\n" + strings.Join(lines[3:], ""),
@@ -68,7 +68,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if rows, err := table.ReadCSV(strings.NewReader(written(t) + lines[1])); err == nil {
+	if rows, err := table.ReadCSV(strings.NewReader(csvText(t) + lines[1])); err == nil {
 		t.Errorf("rows behind the end: %+v", rows)
 	}
 }
--- a/table/participant.go
+++ b/table/participant.go
@@ -4,22 +4,21 @@
 	"time"
 )
 
-// Participant is one router's side of the agreement on changes.
+// Participant is one router's part in the commit protocol for changes.
 //
-// A router that has acknowledged a proposal and hears no outcome within the
-// bound takes no new work on the rows that the change affects. So once a
-// change is committed, no router works by the old row for longer than the
-// bound, whether it heard the outcome or not. It is not safe for concurrent
-// use.
+// A router that has acknowledged a proposal and doesn't learn its outcome within the
+// bound accepts no new work on the rows that the change affects. So no router uses an
+// old row for longer than the bound after a change is committed, even if it hasn't
+// learned the outcome. A Participant is not safe for concurrent use.
 type Participant struct {
-	state   *State
-	pending *Change
-	since   time.Time
-	bound   time.Duration
+	state        *State
+	pending      *Change
+	pendingSince time.Time
+	bound        time.Duration
 }
 
-// NewParticipant returns a participant with the empty configuration. bound is
-// how long an acknowledged change may stay undecided before its rows block.
+// NewParticipant returns a participant with the empty configuration. bound is how long
+// an acknowledged change may stay undecided before new work on its rows is blocked.
 func NewParticipant(bound time.Duration) *Participant {
 	return &Participant{state: NewState(), bound: bound}
 }
@@ -27,8 +26,8 @@
 // State returns the committed configuration. Callers must not change it.
 func (p *Participant) State() *State { return p.state }
 
-// Pending returns the revision of the acknowledged, undecided change; 0 if
-// there is none.
+// Pending returns the revision of the acknowledged but undecided change, or 0 if there
+// is none.
 func (p *Participant) Pending() int64 {
 	if p.pending == nil {
 		return 0
@@ -36,8 +35,8 @@
 	return p.pending.Revision
 }
 
-// Prepare acknowledges a proposal; false means that the participant does not
-// know the revision before it and must catch up first.
+// Prepare acknowledges a proposal. It returns false if the participant lacks the
+// preceding revision and must catch up first.
 func (p *Participant) Prepare(now time.Time, c Change) bool {
 	if c.Revision <= p.state.Revision {
 		return true
@@ -47,14 +46,14 @@
 	}
 	if p.pending == nil || p.pending.ID != c.ID {
 		p.pending = &c
-		p.since = now
+		p.pendingSince = now
 	}
 	return true
 }
 
-// Decide takes a final entry of the log. It returns false for an entry that
-// does not follow the present revision, or is not final. An older or repeated
-// entry changes nothing: a revision never goes back.
+// Decide applies a final log entry. It returns false if the entry is not final or
+// doesn't directly follow the current revision. An older or repeated entry changes
+// nothing, so the revision never decreases.
 func (p *Participant) Decide(c Change) bool {
 	if c.Revision != p.state.Revision+1 || c.Status == Proposed {
 		return false
@@ -68,10 +67,10 @@
 	return true
 }
 
-// Blocked tells whether new work of an account on a target must wait for the
-// outcome of a change.
+// Blocked reports whether new work of an account on a target must wait for the outcome
+// of a change.
 func (p *Participant) Blocked(now time.Time, account, target string) bool {
-	if p.pending == nil || now.Sub(p.since) < p.bound {
+	if p.pending == nil || now.Sub(p.pendingSince) < p.bound {
 		return false
 	}
 	for _, e := range p.pending.Edits {
--- a/table/table.go
+++ b/table/table.go
@@ -1,8 +1,8 @@
-// Package table holds the operators' configuration: client accounts, backend
-// server pools, and the one table of weights and limits.
+// Package table defines the operators' configuration: client accounts, backend server
+// pools, and the table of weights and limits.
 //
-// A configuration has a revision. A change is decided for the whole fleet or
-// refused; see Participant. The package is pure.
+// Each configuration has a revision. A change is either committed for the whole fleet
+// or refused; see Participant. The package does no I/O of its own.
 package table
 
 import (
@@ -18,14 +18,14 @@
 // Kind is the kind of a configured object.
 type Kind string
 
-// The kinds.
+// Kinds of configured objects.
 const (
 	KindAccount Kind = "account"
 	KindPool    Kind = "pool"
 	KindRow     Kind = "row"
 )
 
-// Any in a row's Account applies the row to all client accounts.
+// Any as a row's Account makes the row apply to all client accounts.
 const Any = "*"
 
 // Account is a client account.
@@ -35,13 +35,13 @@
 	// KeyHashes are the SHA-256 hashes (hex) of its keys. The keys themselves
 	// are stored nowhere.
 	KeyHashes []string `json:"key_hashes"`
-	// Budget is the budget used when a request names none.
+	// Budget is the default budget of requests that name none.
 	Budget string `json:"budget"`
 	// Budgets are all budgets that the account may use.
 	Budgets []string `json:"budgets"`
 }
 
-// Owns tells whether the account may use the budget.
+// Owns reports whether the account may use the budget.
 func (a Account) Owns(budget string) bool {
 	for _, b := range a.Budgets {
 		if b == budget {
@@ -51,10 +51,10 @@
 	return false
 }
 
-// PoolKind tells model engines from plain services.
+// PoolKind is the kind of the servers of a pool: model engines or plain services.
 type PoolKind string
 
-// The pool kinds.
+// Kinds of pools.
 const (
 	Model   PoolKind = "model"
 	Service PoolKind = "service"
@@ -66,21 +66,21 @@
 	ID string `json:"id"`
 	// Addr is its IP:port.
 	Addr string `json:"addr"`
-	// Fencing tells that it refuses orders with an old fencing number.
+	// Fencing reports that the server rejects requests with an outdated fencing token.
 	Fencing bool `json:"fencing,omitempty"`
 }
 
-// Pool is a group of equal backend servers at one site.
+// Pool is a group of interchangeable backend servers at one site.
 type Pool struct {
 	// Name is unique in the fleet.
 	Name string `json:"name"`
 	// Kind is model or service.
 	Kind PoolKind `json:"kind"`
-	// Target is the model or the service it serves.
+	// Target is the model or service that the pool serves.
 	Target string `json:"target"`
 	// Site is the data centre, such as "old" or "new".
 	Site string `json:"site"`
-	// Servers are its members.
+	// Servers are the members of the pool.
 	Servers []Server `json:"servers"`
 }
 
@@ -95,13 +95,13 @@
 	// Weight is the site's share of the traffic, relative to the other sites
 	// of the same account and target.
 	Weight int `json:"weight"`
-	// MaxInFlight limits the requests in flight in the fleet; 0 is no limit.
+	// MaxInFlight limits the requests in flight across the fleet; 0 means no limit.
 	MaxInFlight int `json:"max_in_flight"`
-	// RatePerSecond limits requests a second in the fleet; 0 is no limit.
+	// RatePerSecond limits requests per second across the fleet; 0 means no limit.
 	RatePerSecond float64 `json:"rate_per_second"`
-	// TokensPerSecond limits reserved tokens a second; 0 is no limit.
+	// TokensPerSecond limits reserved tokens per second; 0 means no limit.
 	TokensPerSecond float64 `json:"tokens_per_second"`
-	// Priority orders requests under load; higher goes first.
+	// Priority orders requests under load; higher values are served first.
 	Priority int `json:"priority"`
 }
 
@@ -118,23 +118,23 @@
 	Value    json.RawMessage `json:"value"`
 }
 
-// Edit is one object's part of a change.
+// Edit is the part of a change that concerns one object.
 type Edit struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 	// Expect is the revision of the object that the operator saw; 0 means
 	// that it did not exist.
 	Expect int64 `json:"expect"`
-	// Value is the new content; null deletes.
+	// Value is the new content; null deletes the object.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Before is the content it replaced, for the audit trail.
+	// Before is the replaced content, for the audit trail.
 	Before json.RawMessage `json:"before,omitempty"`
 }
 
-// Status is how far a change is decided.
+// Status is the decision state of a change.
 type Status string
 
-// The statuses. Committed and refused are final.
+// Statuses of a change. Committed and Refused are final.
 const (
 	Proposed  Status = "proposed"
 	Committed Status = "committed"
@@ -143,31 +143,32 @@
 
 // Change is one entry of the configuration log.
 type Change struct {
-	// Revision numbers the log without gaps; a refused change uses its
-	// number up.
+	// Revision is the entry's number in the log. There are no gaps: a refused
+	// change keeps its number.
 	Revision int64 `json:"revision"`
-	// ID is unique, so that a proposal whose answer was lost is recognised.
+	// ID is unique, so that a proposer whose store response was lost can tell its
+	// own proposal from another.
 	ID       string    `json:"id"`
 	Operator string    `json:"operator"`
 	At       time.Time `json:"at"`
 	Edits    []Edit    `json:"edits"`
 	Status   Status    `json:"status"`
-	// Missing names the instances that could not follow a refused change.
+	// Missing lists the instances that could not apply a refused change.
 	Missing []string `json:"missing,omitempty"`
-	// Skipped names instances that the operator attested to be terminated.
+	// Skipped lists the instances that the operator attested to be terminated.
 	Skipped []string `json:"skipped,omitempty"`
 }
 
-// Encode returns the stored form.
+// Encode returns the change as it is stored (JSON).
 func (c Change) Encode() []byte {
 	value, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // plain values always encode
+		panic(err) // the fields always encode
 	}
 	return value
 }
 
-// DecodeChange reads a change from its stored form.
+// DecodeChange decodes a stored change.
 func DecodeChange(value []byte) (Change, error) {
 	var c Change
 	err := json.Unmarshal(value, &c)
@@ -182,34 +183,34 @@
 	return fmt.Sprintf("%s%012d", LogPrefix, revision)
 }
 
-// State is the configuration at a revision.
+// State is the configuration at one revision.
 type State struct {
-	Revision int64
-	Accounts map[string]Account
-	Pools    map[string]Pool
-	Rows     map[string]Row
-	revs     map[Kind]map[string]int64
+	Revision  int64
+	Accounts  map[string]Account
+	Pools     map[string]Pool
+	Rows      map[string]Row
+	revisions map[Kind]map[string]int64
 }
 
 // NewState returns the empty configuration.
 func NewState() *State {
 	return &State{
-		Accounts: map[string]Account{},
-		Pools:    map[string]Pool{},
-		Rows:     map[string]Row{},
-		revs:     map[Kind]map[string]int64{KindAccount: {}, KindPool: {}, KindRow: {}},
+		Accounts:  map[string]Account{},
+		Pools:     map[string]Pool{},
+		Rows:      map[string]Row{},
+		revisions: map[Kind]map[string]int64{KindAccount: {}, KindPool: {}, KindRow: {}},
 	}
 }
 
-// ObjectRevision returns the revision of an object's last change; 0 if it
-// does not exist.
+// ObjectRevision returns the revision of an object's last change, or 0 if the object
+// doesn't exist.
 func (s *State) ObjectRevision(kind Kind, name string) int64 {
-	return s.revs[kind][name]
+	return s.revisions[kind][name]
 }
 
-// Object returns an object in its stored form.
+// Object returns an object as it is stored. It returns false if there is none.
 func (s *State) Object(kind Kind, name string) (Object, bool) {
-	rev := s.revs[kind][name]
+	rev := s.revisions[kind][name]
 	if rev == 0 {
 		return Object{}, false
 	}
@@ -226,10 +227,10 @@
 	return Object{Kind: kind, Name: name, Revision: rev, Value: value}, true
 }
 
-// Objects returns all objects of a kind in the order of their names.
+// Objects returns all objects of a kind, sorted by name.
 func (s *State) Objects(kind Kind) []Object {
 	var list []Object
-	for name := range s.revs[kind] {
+	for name := range s.revisions[kind] {
 		o, _ := s.Object(kind, name)
 		list = append(list, o)
 	}
@@ -237,7 +238,7 @@
 	return list
 }
 
-// Clone returns a copy that shares no map.
+// Clone returns a copy that shares no maps with s.
 func (s *State) Clone() *State {
 	c := NewState()
 	c.Revision = s.Revision
@@ -250,15 +251,15 @@
 	for k, v := range s.Rows {
 		c.Rows[k] = v
 	}
-	for kind, revs := range s.revs {
+	for kind, revs := range s.revisions {
 		for name, rev := range revs {
-			c.revs[kind][name] = rev
+			c.revisions[kind][name] = rev
 		}
 	}
 	return c
 }
 
-// Apply returns the state after a committed change; other statuses only move
+// Apply returns the state after a change. A change that is not committed only advances
 // the revision.
 func (s *State) Apply(c Change) (*State, error) {
 	next := s.Clone()
@@ -282,7 +283,7 @@
 	if err := s.set(e); err != nil {
 		return result.New(result.BadRow, "%s %s: %v", e.Kind, e.Name, err)
 	}
-	s.revs[e.Kind][e.Name] = revision
+	s.revisions[e.Kind][e.Name] = revision
 	return nil
 }
 
@@ -311,7 +312,7 @@
 }
 
 func (s *State) remove(kind Kind, name string) {
-	delete(s.revs[kind], name)
+	delete(s.revisions[kind], name)
 	switch kind {
 	case KindAccount:
 		delete(s.Accounts, name)
@@ -322,8 +323,8 @@
 	}
 }
 
-// RowsFor returns the rows in force for an account and target, by site: an
-// account's own row goes before the "*" row of the same site.
+// RowsFor returns the effective rows of an account and target by site. The account's
+// own row takes precedence over the "*" row of the same site.
 func (s *State) RowsFor(account, target string) map[string]Row {
 	rows := map[string]Row{}
 	for _, p := range s.Pools {
@@ -338,16 +339,16 @@
 }
 
 func (s *State) rowFor(account, target, site string) (Row, bool) {
-	own := Row{Account: account, Target: target, Site: site}
-	if r, ok := s.Rows[own.Name()]; ok {
+	key := Row{Account: account, Target: target, Site: site}
+	if r, ok := s.Rows[key.Name()]; ok {
 		return r, true
 	}
-	own.Account = Any
-	r, ok := s.Rows[own.Name()]
+	key.Account = Any
+	r, ok := s.Rows[key.Name()]
 	return r, ok
 }
 
-// HasTarget tells whether a pool of that kind serves the target.
+// HasTarget reports whether a pool of that kind serves the target.
 func (s *State) HasTarget(kind PoolKind, target string) bool {
 	for _, p := range s.Pools {
 		if p.Kind == kind && p.Target == target {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -12,7 +12,7 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-func base(t interface{ Fatal(...any) }) *table.State {
+func baseState(t interface{ Fatal(...any) }) *table.State {
 	s := table.NewState()
 	edits := []table.Edit{
 		table.NewEdit(table.KindPool, "old", 0, table.Pool{Name: "old", Kind: table.Model, Target: "m", Site: "old"}),
@@ -27,8 +27,8 @@
 	return next
 }
 
-func TestCheckRefusesWhatMakesNoSense(t *testing.T) {
-	s := base(t)
+func TestCheckRejectsInvalidChanges(t *testing.T) {
+	s := baseState(t)
 	row := func(r table.Row, expect int64) table.Edit { return table.RowEdit(r, expect) }
 	cases := map[string]struct {
 		edit table.Edit
@@ -56,7 +56,7 @@
 }
 
 func TestCSVRoundTrip(t *testing.T) {
-	rows := table.RowList(base(t))
+	rows := table.RowList(baseState(t))
 	var b bytes.Buffer
 	if err := table.WriteCSV(&b, rows); err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if edits := table.DiffRows(rows, back); len(edits) != 0 {
-		t.Fatalf("unchanged rows give edits: %+v", edits)
+		t.Fatalf("unchanged rows produced edits: %+v", edits)
 	}
 	back[0].Weight = 99
 	edits := table.DiffRows(rows, back[:1])
@@ -74,109 +74,109 @@
 		t.Fatalf("want one change and one deletion, got %+v", edits)
 	}
 	if _, err := table.ReadCSV(bytes.NewBufferString("a,b\n")); result.From(err).Code != result.BadRow {
-		t.Fatalf("a wrong header was read: %v", err)
+		t.Fatalf("ReadCSV of a wrong header: %v, want BadRow", err)
 	}
 }
 
-// agreement drives one change through three participants and two proposers,
-// with the actions of spec/table.pml.
-type agreement struct {
-	t        *rapid.T
-	now      time.Time
-	log      map[int64]table.Change // the store
-	parts    []*table.Participant
-	acks     map[string]map[int]bool // by proposal
-	highest  []int64
-	decided  time.Time // when the newest change was committed
-	newest   int64
-	proposal int
+// protocol drives changes through three participants and competing proposers, with the
+// actions of spec/table.pml.
+type protocol struct {
+	t            *rapid.T
+	now          time.Time
+	log          map[int64]table.Change // by revision, as held in the store
+	participants []*table.Participant
+	acks         map[string]map[int]bool // by proposal ID and participant
+	highest      []int64
+	committedAt  time.Time // when the newest change was committed
+	committed    int64
+	proposals    int
 }
 
 const bound = 3 * time.Second
 
-func newAgreement(t *rapid.T) *agreement {
-	a := &agreement{t: t, now: time.Unix(1000, 0), log: map[int64]table.Change{}, acks: map[string]map[int]bool{}, highest: make([]int64, 3)}
+func newProtocol(t *rapid.T) *protocol {
+	a := &protocol{t: t, now: time.Unix(1000, 0), log: map[int64]table.Change{}, acks: map[string]map[int]bool{}, highest: make([]int64, 3)}
 	for range 3 {
-		a.parts = append(a.parts, table.NewParticipant(bound))
+		a.participants = append(a.participants, table.NewParticipant(bound))
 	}
 	return a
 }
 
-func (a *agreement) propose() {
+func (a *protocol) propose() {
 	next := int64(len(a.log)) + 1
 	if last, ok := a.log[next-1]; ok && last.Status == table.Proposed {
-		return // the log's next entry is taken: the store refuses the create
+		return // the last entry is undecided, so the store refuses to create another
 	}
-	a.proposal++
-	id := fmt.Sprint("p", a.proposal)
-	row := table.Row{Account: "*", Target: "m", Site: "old", Weight: a.proposal}
+	a.proposals++
+	id := fmt.Sprint("p", a.proposals)
+	row := table.Row{Account: "*", Target: "m", Site: "old", Weight: a.proposals}
 	a.log[next] = table.Change{Revision: next, ID: id, Status: table.Proposed, Edits: []table.Edit{table.RowEdit(row, 0)}}
 	a.acks[id] = map[int]bool{}
 }
 
-func (a *agreement) last() (table.Change, bool) {
+func (a *protocol) last() (table.Change, bool) {
 	c, ok := a.log[int64(len(a.log))]
 	return c, ok
 }
 
-func (a *agreement) prepare(i int) {
+func (a *protocol) prepare(i int) {
 	c, ok := a.last()
-	if ok && c.Status == table.Proposed && a.parts[i].Prepare(a.now, c) {
+	if ok && c.Status == table.Proposed && a.participants[i].Prepare(a.now, c) {
 		a.acks[c.ID][i] = true
 	}
 }
 
-func (a *agreement) decide(commit bool) {
+func (a *protocol) decide(commit bool) {
 	c, ok := a.last()
 	if !ok || c.Status != table.Proposed {
 		return
 	}
-	if commit && len(a.acks[c.ID]) < len(a.parts) {
+	if commit && len(a.acks[c.ID]) < len(a.participants) {
 		return
 	}
 	c.Status = table.Refused
 	if commit {
 		c.Status = table.Committed
-		a.decided, a.newest = a.now, c.Revision
+		a.committedAt, a.committed = a.now, c.Revision
 	}
 	a.log[c.Revision] = c
 }
 
-// tell brings any entry of the log to a participant, old ones too.
-func (a *agreement) tell(i int, revision int64) {
+// deliver passes a final entry of the log, possibly an old one, to a participant.
+func (a *protocol) deliver(i int, revision int64) {
 	if c, ok := a.log[revision]; ok && c.Status != table.Proposed {
-		a.parts[i].Decide(c)
+		a.participants[i].Decide(c)
 	}
 }
 
-// restart empties a participant, which reads the whole log before it serves.
-func (a *agreement) restart(i int) {
-	a.parts[i] = table.NewParticipant(bound)
+// restart replaces a participant by a new one, which replays the whole log first.
+func (a *protocol) restart(i int) {
+	a.participants[i] = table.NewParticipant(bound)
 	for r := int64(1); r <= int64(len(a.log)); r++ {
 		if a.log[r].Status == table.Proposed {
-			a.parts[i].Prepare(a.now, a.log[r])
+			a.participants[i].Prepare(a.now, a.log[r])
 			continue
 		}
-		a.parts[i].Decide(a.log[r])
+		a.participants[i].Decide(a.log[r])
 	}
 }
 
-func (a *agreement) check() {
-	for i, p := range a.parts {
+func (a *protocol) check() {
+	for i, p := range a.participants {
 		rev := p.State().Revision
 		if rev < a.highest[i] {
-			a.t.Fatalf("participant %d went back from %d to %d", i, a.highest[i], rev)
+			a.t.Fatalf("participant %d: revision fell from %d to %d", i, a.highest[i], rev)
 		}
 		a.highest[i] = rev
-		if a.newest > rev && a.now.Sub(a.decided) >= bound && !p.Blocked(a.now, "acme", "m") {
-			a.t.Fatalf("participant %d works by revision %d, %d is committed since %s", i, rev, a.newest, a.now.Sub(a.decided))
+		if a.committed > rev && a.now.Sub(a.committedAt) >= bound && !p.Blocked(a.now, "acme", "m") {
+			a.t.Fatalf("participant %d still uses revision %d; revision %d was committed %s ago", i, rev, a.committed, a.now.Sub(a.committedAt))
 		}
 	}
 }
 
 func TestAgreement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := newAgreement(t)
+		a := newProtocol(t)
 		pick := rapid.IntRange(0, 2)
 		t.Repeat(map[string]func(*rapid.T){
 			"propose": func(*rapid.T) { a.propose() },
@@ -184,7 +184,7 @@
 			"commit":  func(*rapid.T) { a.decide(true) },
 			"refuse":  func(*rapid.T) { a.decide(false) },
 			"tell": func(t *rapid.T) {
-				a.tell(pick.Draw(t, "participant"), rapid.Int64Range(1, 6).Draw(t, "revision"))
+				a.deliver(pick.Draw(t, "participant"), rapid.Int64Range(1, 6).Draw(t, "revision"))
 			},
 			"restart": func(t *rapid.T) { a.restart(pick.Draw(t, "participant")) },
 			"wait": func(t *rapid.T) {
--- a/table/validate.go
+++ b/table/validate.go
@@ -4,11 +4,11 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// maxWeight bounds a weight, so that sums cannot overflow.
+// maxWeight limits a weight, so that sums cannot overflow.
 const maxWeight = 1_000_000
 
-// Check refuses a change that conflicts with the state or makes no sense,
-// before anything moves.
+// Check validates a change before it is proposed. It returns RowConflict if an expected
+// revision is outdated, and BadRow if the change is invalid.
 func Check(s *State, c Change) error {
 	if len(c.Edits) == 0 {
 		return result.New(result.BadRow, "the change is empty")
@@ -29,18 +29,18 @@
 }
 
 func checkExpect(s *State, e Edit) error {
-	if _, known := s.revs[e.Kind]; !known {
+	if _, known := s.revisions[e.Kind]; !known {
 		return result.New(result.BadRow, "unknown kind %q", e.Kind)
 	}
-	have := s.ObjectRevision(e.Kind, e.Name)
-	if have == e.Expect {
+	current := s.ObjectRevision(e.Kind, e.Name)
+	if current == e.Expect {
 		return nil
 	}
-	now, _ := s.Object(e.Kind, e.Name)
-	return result.New(result.RowConflict, "%s %s is at revision %d, not %d; it now reads %s", e.Kind, e.Name, have, e.Expect, now.Value)
+	object, _ := s.Object(e.Kind, e.Name)
+	return result.New(result.RowConflict, "%s %s is at revision %d, not %d; it now reads %s", e.Kind, e.Name, current, e.Expect, object.Value)
 }
 
-// validate checks the objects that the change touched in their new context.
+// validate checks the objects that the change set against the new state.
 func (s *State) validate(c Change) error {
 	for _, e := range c.Edits {
 		if s.ObjectRevision(e.Kind, e.Name) == 0 {
@@ -123,8 +123,8 @@
 	return false
 }
 
-// validateWeights refuses a table in which an account's weights for a target
-// sum to zero.
+// validateWeights rejects a table in which an account's weights for a target sum to
+// zero.
 func (s *State) validateWeights() error {
 	sums := map[string]int{}
 	for _, r := range s.Rows {
