--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,5 @@
-// Package catalog is the configuration that a gateway works by: routes,
-// services, client accounts and limits. A Catalog is never changed after New;
-// a newer version replaces it whole.
+// Package catalog defines a gateway's configuration: routes, services, client accounts
+// and limits. A Catalog is immutable after New; a newer version replaces it as a whole.
 package catalog
 
 import (
@@ -10,79 +9,82 @@
 	"time"
 )
 
-// Kind says how often a request of a route may run.
+// Kind determines whether a request of a route may be run again.
 type Kind int
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	// Once: the request may run at most once.
+	// Once: the request may be run at most once.
 	Once Kind = iota
 	// Repeatable: the request is idempotent.
 	Repeatable
-	// Stream: the answer is a series of events. It may run again only where
-	// the route allows a stream to be resumed.
+	// Stream: the response is a stream of events. The request may be run again only
+	// if the route allows streams to be resumed.
 	Stream
 )
 
-// Share is one service of a route and its part of the route's traffic.
+// Share is a service of a route and its share of the route's traffic.
 type Share struct {
 	Service string
 	// Weight is relative to the other shares of the route.
 	Weight int
 }
 
-// Route says what happens to the requests of one host and path prefix.
+// Route configures how requests with one host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
 	// Prefix starts and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the maximum time that a request may be held.
 	Timeout time.Duration
-	// Objective is the time within which an answer (a stream's first event)
-	// is in time.
+	// Objective is the latency objective (SLO) for a response, or for the first event
+	// of a stream.
 	Objective time.Duration
-	// Pause is the longest time between two events of a stream in time.
+	// Pause is the latency objective between two events of a stream.
 	Pause time.Duration
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
 	Split    []Share
-	// Attempts is the largest number of backend servers that one request may
-	// be sent to.
+	// Attempts is the maximum number of backend servers that one request may be sent
+	// to.
 	Attempts int
-	// Public routes need no key.
+	// Public reports that requests need no key.
 	Public bool
-	// Resume tells that a broken stream may go on at another server.
+	// Resume reports that an interrupted stream may be resumed at another server.
 	Resume bool
-	// Regions are those whose servers may run its requests; none: all may.
+	// Regions lists the regions whose servers may run the requests; if empty, all may.
 	Regions []string
 }
 
-// MayRepeat tells whether a request of the route is idempotent.
+// MayRepeat reports whether a request of the route may be run again.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resume
 }
 
 // Engine describes the model engines behind a service.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// EventTokens is the largest number of tokens in one event of a stream.
+	// EventTokens is the maximum number of tokens in one event of a stream.
 	EventTokens int64
 }
 
 // Service is a group of backend servers of one kind.
 type Service struct {
 	Name string
-	// HealthPath answers 200 while a server is well.
+	// HealthPath is the path of the health check, which returns 200 while a server is
+	// healthy.
 	HealthPath string
-	// MaxConnections is what one server takes from all routers together.
+	// MaxConnections is the number of connections that one server accepts from all
+	// routers together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// Warmup is how long its servers stay cold after a start, and WarmupRate what a
-	// cold one bears, in requests a second; 0: they are never cold.
+	// Warmup is how long a server stays cold after a start. WarmupRate is the load that
+	// a cold server can take, in requests per second; 0 means that servers are never
+	// cold.
 	Warmup     time.Duration
 	WarmupRate float64
 }
@@ -91,17 +93,18 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority ranks the account before the route's priority; 0 is first.
+	// Priority ranks the account and takes precedence over the route's priority; 0 is
+	// the most urgent.
 	Priority int
-	// Budget is the prepaid number of tokens, in and out.
+	// Budget is the prepaid number of input and output tokens.
 	Budget int64
-	// Metered tells that the account has a budget.
+	// Metered reports that the account has a budget.
 	Metered bool
-	// Regions are those whose servers may run its requests; none: all may.
+	// Regions lists the regions whose servers may run the requests; if empty, all may.
 	Regions []string
 }
 
-// Limits bound what callers may send.
+// Limits holds the limits on requests and connections of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -120,7 +123,7 @@
 	keys   map[string]*Account
 }
 
-// New builds a catalog and checks that its parts fit together.
+// New builds a catalog. It returns an error if a route has no service or an unknown one.
 func New(version int64, limits Limits, routes []*Route, services []*Service, accounts []*Account) (*Catalog, error) {
 	c := &Catalog{
 		Version:  version,
@@ -147,11 +150,11 @@
 func (c *Catalog) addRoutes(routes []*Route) error {
 	for _, r := range routes {
 		if len(r.Split) == 0 {
-			return fmt.Errorf("catalog: route %s names no service", r.Name)
+			return fmt.Errorf("catalog: route %s has no service", r.Name)
 		}
 		for _, share := range r.Split {
 			if c.Services[share.Service] == nil {
-				return fmt.Errorf("catalog: route %s names unknown service %s", r.Name, share.Service)
+				return fmt.Errorf("catalog: route %s has unknown service %s", r.Name, share.Service)
 			}
 		}
 		host := strings.ToLower(r.Host)
@@ -163,8 +166,8 @@
 	return nil
 }
 
-// Route returns the route of a host and path: the one with the longest
-// prefix. It is nil if there is none.
+// Route returns the route with the longest prefix that matches a host and path, or nil
+// if there is none.
 func (c *Catalog) Route(host, path string) *Route {
 	for _, r := range c.routes[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -174,7 +177,7 @@
 	return nil
 }
 
-// Account returns the account that holds a key, or nil.
+// Account returns the account of a key, or nil if the key is unknown.
 func (c *Catalog) Account(key string) *Account {
 	return c.keys[key]
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -6,7 +6,7 @@
 	"github.com/gaplink/gaplink/catalog"
 )
 
-func build(t *testing.T, routes ...*catalog.Route) *catalog.Catalog {
+func newCatalog(t *testing.T, routes ...*catalog.Route) *catalog.Catalog {
 	t.Helper()
 	for _, r := range routes {
 		r.Split = []catalog.Share{{Service: "svc", Weight: 1}}
@@ -19,7 +19,7 @@
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	c := build(t,
+	c := newCatalog(t,
 		&catalog.Route{Name: "all", Host: "a.example", Prefix: "/"},
 		&catalog.Route{Name: "deep", Host: "a.example", Prefix: "/x/y/"},
 		&catalog.Route{Name: "mid", Host: "a.example", Prefix: "/x/"},
@@ -30,21 +30,21 @@
 		}
 	}
 	if c.Route("c.example", "/x/") != nil || c.Route("b.example", "/y/") != nil {
-		t.Error("a route where there is none")
+		t.Error("found a route for an unmatched host or path")
 	}
 }
 
-func TestEveryKeyFindsItsAccount(t *testing.T) {
-	c := build(t)
+func TestAccountByKey(t *testing.T) {
+	c := newCatalog(t)
 	if c.Account("k2") == nil || c.Account("k3") != nil || c.Account("") != nil {
-		t.Fatal("keys do not find their account")
+		t.Fatal("wrong account for a key")
 	}
 }
 
 func TestRouteToUnknownServiceIsRefused(t *testing.T) {
 	r := &catalog.Route{Name: "r", Split: []catalog.Share{{Service: "nowhere"}}}
 	if _, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{r}, nil, nil); err == nil {
-		t.Fatal("accepted")
+		t.Fatal("New accepted a route to an unknown service")
 	}
 }
 
