--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads and checks a router's static settings (TOML).
+// Package settings reads and validates a router's static settings (TOML).
 //
-// Decoding is strict: an unknown key, a wrong type or a value out of range is
-// an error that names file, line and key and says what is allowed.
+// Decoding is strict: an unknown key, a wrong type or a value out of range is an error
+// that names the file, line and key and the allowed values.
 package settings
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// Duration is a time span written like "150ms" or "10s".
+// Duration is a time span in the syntax of time.ParseDuration, such as "150ms" or "10s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -36,10 +36,10 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std returns the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Settings are all static settings of a router.
+// Settings holds all static settings of a router.
 type Settings struct {
 	Instance Instance `toml:"instance"`
 	Listen   Listen   `toml:"listen"`
@@ -52,99 +52,99 @@
 	Log      Log      `toml:"log"`
 }
 
-// Instance says who and where the process is.
+// Instance identifies the process and its location.
 type Instance struct {
 	// ID is the instance's name in the platform's list.
 	ID string `toml:"id" validate:"required"`
 	// Domain is its failure domain.
 	Domain string `toml:"domain" validate:"required"`
-	// FenceAfter is how long another router must not answer before this one
-	// takes it to be dead, fences it and reclaims its tokens.
+	// FenceAfter is how long another router must be unresponsive before this one
+	// declares it dead, fences it and reclaims its tokens.
 	FenceAfter Duration `toml:"fence_after" validate:"min=1000000"`
 }
 
-// Listen are the addresses that the process binds, as IP:port.
+// Listen holds the addresses that the process binds, as IP:port.
 type Listen struct {
-	// Callers is where callers connect.
+	// Callers is the address for callers.
 	Callers string `toml:"callers" validate:"required,hostname_port"`
-	// Peers is where other routers and gaplinkctl connect.
+	// Peers is the address for other routers and gaplinkctl.
 	Peers string `toml:"peers" validate:"required,hostname_port"`
 }
 
-// Platform is the platform's API.
+// Platform configures the access to the platform's API.
 type Platform struct {
-	// URL is its base, such as "http://10.0.0.1:9000".
+	// URL is the base URL, such as "http://10.0.0.1:9000".
 	URL string `toml:"url" validate:"required,http_url"`
-	// Timeout bounds one call.
+	// Timeout limits one call.
 	Timeout Duration `toml:"timeout" validate:"min=1000000"`
-	// ListEvery is how often the instance list is read.
+	// ListEvery is the interval between reads of the instance list.
 	ListEvery Duration `toml:"list_every" validate:"min=1000000"`
 }
 
-// Budgets are the settings of the token budgets.
+// Budgets holds the settings of the token budgets.
 type Budgets struct {
-	// Pages is the number of store objects that hold the budgets; the same
+	// Pages is the number of store objects that hold the budgets. It must be the same
 	// on all instances.
 	Pages int `toml:"pages" validate:"min=1,max=4096"`
-	// Hold is how much demand a budget's home holds ahead. Longer lasts
-	// longer through a store outage (fewer false refusals); shorter strands
-	// less when a home dies.
+	// Hold is the amount of tokens that a budget's owner reserves ahead, as a time at
+	// current demand. A longer time bridges longer store outages (fewer false
+	// refusals); a shorter one strands fewer tokens when an owner crashes.
 	Hold Duration `toml:"hold" validate:"min=100000000"`
-	// EntryHold is how much demand an entry router holds ahead.
+	// EntryHold is the amount that an entry router reserves ahead, also as a time.
 	EntryHold Duration `toml:"entry_hold" validate:"min=10000000"`
 }
 
-// Ledger are the settings of claims and billing records.
+// Ledger holds the settings of claims and billing records.
 type Ledger struct {
-	// Shards is the number of ledger shards; the same on all instances.
+	// Shards is the number of ledger shards. It must be the same on all instances.
 	Shards int `toml:"shards" validate:"min=1,max=999"`
-	// Spacing is the least time between two commits of a shard.
+	// Spacing is the minimum time between two commits of a shard.
 	Spacing Duration `toml:"spacing" validate:"min=1000000"`
-	// Linger is how long a billing record may wait for others.
+	// Linger is how long a billing record may wait to be batched with others.
 	Linger Duration `toml:"linger" validate:"min=1000000"`
-	// Retention is how long a finished request's key is remembered.
+	// Retention is how long the key of a finished request is kept.
 	Retention Duration `toml:"retention" validate:"min=1000000000"`
 }
 
-// Requests bound one request.
+// Requests holds the limits on a request.
 type Requests struct {
-	// MaxBodyBytes bounds the body.
+	// MaxBodyBytes limits the size of the body.
 	MaxBodyBytes int64 `toml:"max_body_bytes" validate:"min=1024,max=104857600"`
-	// MaxTokens bounds max_tokens.
+	// MaxTokens limits max_tokens.
 	MaxTokens int64 `toml:"max_tokens" validate:"min=1"`
-	// Deadline is used when the caller names none.
+	// Deadline is the deadline of requests that name none.
 	Deadline Duration `toml:"deadline" validate:"min=1000000"`
-	// Attempts bounds the attempts of one request.
+	// Attempts limits the attempts of one request.
 	Attempts int `toml:"attempts" validate:"min=1,max=10"`
-	// RetryRatio is the fleet's retry budget as a share of its requests.
+	// RetryRatio is the fleet's retry budget as a fraction of its requests.
 	RetryRatio float64 `toml:"retry_ratio" validate:"min=0,max=1"`
-	// LeaveGrace is how long a stopping router still takes new work, until
-	// the balancer has noticed.
+	// LeaveGrace is how long a router that is shutting down still accepts new work,
+	// until the load balancer has noticed.
 	LeaveGrace Duration `toml:"leave_grace" validate:"min=0"`
 }
 
-// Table are the settings of configuration changes.
+// Table holds the settings of configuration changes.
 type Table struct {
-	// DecideWithin is how long an acknowledged change may stay undecided
-	// before its rows take no new work.
+	// DecideWithin is how long an acknowledged change may stay undecided before new
+	// work on its rows is blocked.
 	DecideWithin Duration `toml:"decide_within" validate:"min=1000000"`
 	// AckWithin is how long the proposer waits for acknowledgements.
 	AckWithin Duration `toml:"ack_within" validate:"min=1000000"`
 }
 
-// Operator says who may change things.
+// Operator configures who may change the configuration.
 type Operator struct {
 	// KeyHash is the SHA-256 hash (hex) of the operators' key.
 	KeyHash string `toml:"key_hash" validate:"required,len=64,hexadecimal"`
 }
 
-// Log are the settings of the logs.
+// Log holds the settings of the logs.
 type Log struct {
-	// Level is the least severity written.
+	// Level is the lowest severity that is logged.
 	Level string `toml:"level" validate:"oneof=debug info warn error"`
 }
 
-// Default returns the settings that a file need not name.
+// Default returns the default settings of a router.
 func Default() Settings {
 	return Settings{
 		Instance: Instance{FenceAfter: Duration(10 * time.Second)},
@@ -169,17 +169,17 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (Settings, error) {
 	return load(path, Default())
 }
 
-// Parse decodes and checks settings; name is used in errors.
+// Parse decodes and validates settings; errors contain name.
 func Parse(name string, text []byte) (Settings, error) {
 	return parse(name, text, Default())
 }
 
-// load reads a file over the given defaults.
+// load reads a file; keys that it lacks keep their default.
 func load[T any](path string, defaults T) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -188,7 +188,7 @@
 	return parse(path, text, defaults)
 }
 
-// parse decodes and checks text over the given defaults.
+// parse decodes and validates text; keys that it lacks keep their value in s.
 func parse[T any](name string, text []byte, s T) (T, error) {
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
@@ -209,10 +209,10 @@
 		line, _ := first.Position()
 		return result.New(result.BadSettings, "%s: line %d: unknown key %s", name, line, strings.Join(first.Key(), "."))
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		line, _ := wrong.Position()
-		return result.New(result.BadSettings, "%s: line %d: key %s: %v", name, line, strings.Join(wrong.Key(), "."), wrong)
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return result.New(result.BadSettings, "%s: line %d: key %s: %v", name, line, strings.Join(decodeErr.Key(), "."), decodeErr)
 	}
 	return result.New(result.BadSettings, "%s: %v", name, err)
 }
@@ -224,15 +224,15 @@
 	}
 	section, key := tomlKey(fields[0].StructNamespace())
 	line := lineOf(text, section, key)
-	where := "missing"
+	position := "missing"
 	if line > 0 {
-		where = fmt.Sprintf("line %d", line)
+		position = fmt.Sprintf("line %d", line)
 	}
-	return result.New(result.BadSettings, "%s: %s: key %s.%s: %s", name, where, section, key, allowed(fields[0]))
+	return result.New(result.BadSettings, "%s: %s: key %s.%s: %s", name, position, section, key, violation(fields[0]))
 }
 
-// allowed says in words what a field's rule allows.
-func allowed(f validator.FieldError) string {
+// violation describes the validation rule that a field violates.
+func violation(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "must be set"
@@ -254,15 +254,15 @@
 	}
 }
 
-// tomlKey turns "Settings.Ledger.Shards" into "ledger" and "shards".
+// tomlKey converts "Settings.Ledger.Shards" to "ledger" and "shards".
 func tomlKey(namespace string) (section, key string) {
 	parts := strings.Split(namespace, ".")
-	return snake(parts[1]), snake(parts[2])
+	return snakeCase(parts[1]), snakeCase(parts[2])
 }
 
 var acronyms = strings.NewReplacer("ID", "id", "URL", "url")
 
-func snake(name string) string {
+func snakeCase(name string) string {
 	name = acronyms.Replace(name)
 	var b strings.Builder
 	for i, r := range name {
@@ -274,17 +274,17 @@
 	return strings.ToLower(b.String())
 }
 
-// lineOf finds a key in its section; 0 if the file does not name it.
+// lineOf returns the line number of a key in its section, or 0 if the file lacks it.
 func lineOf(text []byte, section, key string) int {
-	in := ""
+	currentSection := ""
 	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
-			in = strings.Trim(line, "[] ")
+			currentSection = strings.Trim(line, "[] ")
 			continue
 		}
 		name, _, ok := strings.Cut(line, "=")
-		if ok && in == section && strings.TrimSpace(name) == key {
+		if ok && currentSection == section && strings.TrimSpace(name) == key {
 			return i + 1
 		}
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/gaplink/gaplink/settings"
 )
 
-const good = `
+const validSettings = `
 [instance]
 id = "r1"
 domain = "kyushu-a"
@@ -24,8 +24,8 @@
 key_hash = "0000000000000000000000000000000000000000000000000000000000000000"
 `
 
-func TestGoodSettings(t *testing.T) {
-	s, err := settings.Parse("gaplinkd.toml", []byte(good))
+func TestValidSettings(t *testing.T) {
+	s, err := settings.Parse("gaplinkd.toml", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,13 +36,13 @@
 
 func TestBadSettingsNameFileLineAndKey(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
-		"unknown key":  {good + "\n[ledger]\ncolour = 1\n", "line 17: unknown key ledger.colour"},
-		"wrong type":   {good + "\n[ledger]\nshards = \"many\"\n", "line 17: key ledger.shards"},
-		"out of range": {good + "\n[ledger]\nshards = 0\n", "line 17: key ledger.shards: 0 is below 1"},
-		"bad span":     {good + "\n[budgets]\nhold = \"soon\"\n", "time span"},
-		"missing":      {strings.Replace(good, `domain = "kyushu-a"`, "", 1), "missing: key instance.domain: must be set"},
-		"bad address":  {strings.Replace(good, "127.0.0.1:7100", "nowhere", 1), "key listen.peers"},
-		"bad level":    {good + "\n[log]\nlevel = \"loud\"\n", "line 17: key log.level: loud is not one of"},
+		"unknown key":  {validSettings + "\n[ledger]\ncolour = 1\n", "line 17: unknown key ledger.colour"},
+		"wrong type":   {validSettings + "\n[ledger]\nshards = \"many\"\n", "line 17: key ledger.shards"},
+		"out of range": {validSettings + "\n[ledger]\nshards = 0\n", "line 17: key ledger.shards: 0 is below 1"},
+		"bad span":     {validSettings + "\n[budgets]\nhold = \"soon\"\n", "time span"},
+		"missing":      {strings.Replace(validSettings, `domain = "kyushu-a"`, "", 1), "missing: key instance.domain: must be set"},
+		"bad address":  {strings.Replace(validSettings, "127.0.0.1:7100", "nowhere", 1), "key listen.peers"},
+		"bad level":    {validSettings + "\n[log]\nlevel = \"loud\"\n", "line 17: key log.level: loud is not one of"},
 	}
 	for name, c := range cases {
 		_, err := settings.Parse("gaplinkd.toml", []byte(c.text))
