--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend holds small stand-ins for backend servers: a model engine
-// and a plain service. They are for tests, `make run` and `make demo`, and
-// they count what they did, so that a check need not trust the routers.
+// Package backend implements small stand-ins for backend servers: a model engine and a
+// plain service. They are used by tests, `make run` and `make demo`. They record the
+// requests that they ran, so that checks don't depend on what the routers report.
 package backend
 
 import (
@@ -10,58 +10,58 @@
 	"time"
 )
 
-// Fault is how an answer goes wrong.
+// Fault is a kind of faulty response.
 type Fault string
 
-// The faults.
+// Kinds of faults.
 const (
 	None     Fault = ""
 	Garbage  Fault = "garbage"  // an event that is not JSON
-	Cut      Fault = "cut"      // the connection ends half way
-	Unframed Fault = "unframed" // neither length nor chunks, and the connection ends half way
-	Early    Fault = "early"    // a model engine's half answer, framed as whole
-	Foreign  Fault = "foreign"  // another request's answer
-	Refuse   Fault = "refuse"   // refused before running
-	Stall    Fault = "stall"    // no answer until the caller gives up
-	Excess   Fault = "excess"   // more tokens than the cap
+	Cut      Fault = "cut"      // the connection is closed halfway through the response
+	Unframed Fault = "unframed" // neither Content-Length nor chunked encoding, and the connection is closed halfway
+	Early    Fault = "early"    // half of a model engine's response, framed as complete
+	Foreign  Fault = "foreign"  // the response to another request
+	Refuse   Fault = "refuse"   // refused before it is run
+	Stall    Fault = "stall"    // no response until the caller cancels
+	Excess   Fault = "excess"   // more tokens than max_tokens
 )
 
-// Faults are the injected faults.
+// Faults configures fault injection.
 type Faults struct {
-	// Kind is how an answer goes wrong.
+	// Kind is the fault to inject.
 	Kind Fault `json:"kind"`
-	// Every makes each so-manieth request wrong; 0 means none.
+	// Every is the number of requests per injected fault; 0 means no faults.
 	Every int `json:"every"`
 }
 
-// Run is one request that a stand-in ran.
+// Run records one request that a stand-in ran.
 type Run struct {
-	// Attempt is what the router called it.
+	// Attempt is the attempt ID that the router sent.
 	Attempt string `json:"attempt"`
-	// Nonce is the load sender's mark in the body.
+	// Nonce identifies the request; the load generator puts it into the body.
 	Nonce string `json:"nonce"`
-	// Tokens were served (a model engine).
+	// Tokens is the number of tokens served by a model engine.
 	Tokens int64 `json:"tokens"`
-	// AfterLeaving tells how long after the server began to leave the request
-	// came, in milliseconds; 0 if it was not leaving.
+	// AfterLeaving is the time from the start of the drain to the request, in
+	// milliseconds plus 1; 0 if the server was not draining.
 	AfterLeaving int64 `json:"after_leaving_ms"`
 
 	cancelled bool
 }
 
-// loadLag is how late the published load is.
+// loadLag is the delay of the published load.
 const loadLag = 500 * time.Millisecond
 
-// base is what both stand-ins share.
+// base holds the state common to both stand-ins.
 type base struct {
-	mu        sync.Mutex
-	runs      []*Run
-	byAttempt map[string]*Run
-	faults    Faults
-	seen      int
-	inFlight  int
-	published int
-	leavingAt time.Time
+	mu            sync.Mutex
+	runs          []*Run
+	byAttempt     map[string]*Run
+	faults        Faults
+	received      int
+	inFlight      int
+	publishedLoad int
+	drainStart    time.Time
 }
 
 func newBase() *base {
@@ -75,12 +75,12 @@
 	mux.HandleFunc("PUT /standin/leave", func(http.ResponseWriter, *http.Request) { b.Leave() })
 }
 
-// Leave begins a planned stop: the server says so, and still takes work, so
-// that a router that does not listen is found out.
+// Leave starts a graceful shutdown. The server announces it but still accepts work, so
+// that checks detect a router that ignores the announcement.
 func (b *base) Leave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.leavingAt = time.Now()
+	b.drainStart = time.Now()
 }
 
 // SetFaults replaces the injected faults.
@@ -90,7 +90,7 @@
 	b.faults = f
 }
 
-// Runs returns what was run so far.
+// Runs returns the requests run so far.
 func (b *base) Runs() []Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,28 +101,29 @@
 	return list
 }
 
-// InFlight returns the requests being run.
+// InFlight returns the number of requests that are running.
 func (b *base) InFlight() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inFlight
 }
 
-// begin counts a request and decides whether it goes wrong.
+// begin counts a request, selects the fault to inject, and records the run unless the
+// request is refused.
 func (b *base) begin(attempt, nonce string) (*Run, Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.seen++
+	b.received++
 	fault := None
-	if b.faults.Every > 0 && b.seen%b.faults.Every == 0 {
+	if b.faults.Every > 0 && b.received%b.faults.Every == 0 {
 		fault = b.faults.Kind
 	}
 	if fault == Refuse {
 		return nil, fault
 	}
 	r := &Run{Attempt: attempt, Nonce: nonce}
-	if !b.leavingAt.IsZero() {
-		r.AfterLeaving = time.Since(b.leavingAt).Milliseconds() + 1
+	if !b.drainStart.IsZero() {
+		r.AfterLeaving = time.Since(b.drainStart).Milliseconds() + 1
 	}
 	b.runs = append(b.runs, r)
 	b.byAttempt[attempt] = r
@@ -138,18 +139,18 @@
 	b.publishLater()
 }
 
-// publishLater makes the present load visible after the lag.
+// publishLater publishes the current load after loadLag. The caller must hold b.mu.
 func (b *base) publishLater() {
 	load := b.inFlight
 	time.AfterFunc(loadLag, func() {
 		b.mu.Lock()
-		b.published = load
+		b.publishedLoad = load
 		b.mu.Unlock()
 	})
 }
 
-// count adds a served token; false means that the run was cancelled before it.
-func (b *base) count(r *Run) bool {
+// countToken adds a served token. It returns false if the run has been cancelled.
+func (b *base) countToken(r *Run) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.cancelled {
@@ -159,11 +160,11 @@
 	return true
 }
 
-// state returns the published load and whether the server is leaving.
+// state returns the published load and whether the server is draining.
 func (b *base) state() (load int, leaving bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.published, !b.leavingAt.IsZero()
+	return b.publishedLoad, !b.drainStart.IsZero()
 }
 
 func (b *base) health(w http.ResponseWriter, _ *http.Request) {
@@ -189,9 +190,9 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Seen returns the requests that came, refused ones among them.
+// Seen returns the number of requests received, including refused ones.
 func (b *base) Seen() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen
+	return b.received
 }
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -14,16 +14,16 @@
 	"github.com/gaplink/gaplink/engine"
 )
 
-// Engine is a model engine stand-in. It is an http.Handler.
+// Engine is a stand-in for a model engine. It implements http.Handler.
 type Engine struct {
 	*base
-	mux   *http.ServeMux
-	pause time.Duration // between tokens
+	mux           *http.ServeMux
+	tokenInterval time.Duration // between tokens
 }
 
-// NewEngine returns an engine that takes pause for each token.
+// NewEngine returns an engine that waits pause before each token.
 func NewEngine(pause time.Duration) *Engine {
-	e := &Engine{base: newBase(), mux: http.NewServeMux(), pause: pause}
+	e := &Engine{base: newBase(), mux: http.NewServeMux(), tokenInterval: pause}
 	e.routes(e.mux)
 	e.mux.HandleFunc("POST /v1/chat/completions", e.chat)
 	e.mux.HandleFunc("POST /v1/cancel", e.cancel)
@@ -48,8 +48,8 @@
 	return b.Messages[0].Content
 }
 
-// Answer returns the text that an engine gives for a prompt and cap, and its
-// number of tokens, so that a load sender can check what it got.
+// Answer returns the text that an engine generates for a prompt and max_tokens, and its
+// number of tokens, so that a load generator can verify a response.
 func Answer(prompt string, maxTokens int64) (text string, tokens int64) {
 	h := xxhash.Sum64String(prompt)
 	tokens = 1 + int64(h%uint64(maxTokens))
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("%x.%d ", h&0xffff, i)
 }
 
-// Nonce returns the load sender's mark: the first word of a text.
+// Nonce returns the load generator's request identifier, the first word of a text.
 func Nonce(text string) string {
 	nonce, _, _ := strings.Cut(text, " ")
 	return nonce
@@ -79,7 +79,7 @@
 	}
 	attempt := r.Header.Get(engine.HeaderAttempt)
 	run, fault := e.begin(attempt, Nonce(req.prompt()))
-	e.head(w)
+	e.setStatusHeaders(w)
 	if fault == Refuse {
 		w.Header().Set(engine.HeaderNotAccepted, "true")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -93,19 +93,20 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engine.HeaderAttempt, attempt)
 	if fault == Unframed {
-		unframe(w)
+		disableFraming(w)
 	}
 	e.generate(w, r, run, req, fault)
 }
 
-func (b *base) head(w http.ResponseWriter) {
+func (b *base) setStatusHeaders(w http.ResponseWriter) {
 	load, leaving := b.state()
 	w.Header().Set(engine.HeaderLoad, strconv.Itoa(load))
 	w.Header().Set(engine.HeaderLeaving, strconv.FormatBool(leaving))
 }
 
-// unframe makes the end of the connection the only end of the answer.
-func unframe(w http.ResponseWriter) {
+// disableFraming disables the response framing, so that only the closed connection ends the
+// body.
+func disableFraming(w http.ResponseWriter) {
 	w.Header().Set("Transfer-Encoding", "identity")
 }
 
@@ -129,21 +130,21 @@
 		if (fault == Early || fault == Unframed) && i == tokens/2 {
 			return
 		}
-		if !e.step(r) || !e.count(run) {
+		if !e.waitToken(r) || !e.countToken(run) {
 			return
 		}
-		event(w, id, word(h, i), "", 0)
+		writeEvent(w, id, word(h, i), "", 0)
 	}
-	event(w, id, "", "stop", tokens)
+	writeEvent(w, id, "", "stop", tokens)
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// step takes the time of one token; false means that the caller has gone.
-func (e *Engine) step(r *http.Request) bool {
-	if e.pause <= 0 {
+// waitToken waits for the time of one token. It returns false if the caller has disconnected.
+func (e *Engine) waitToken(r *http.Request) bool {
+	if e.tokenInterval <= 0 {
 		return r.Context().Err() == nil
 	}
-	timer := time.NewTimer(e.pause)
+	timer := time.NewTimer(e.tokenInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -153,7 +154,7 @@
 	}
 }
 
-func event(w http.ResponseWriter, id, content, finish string, tokens int64) {
+func writeEvent(w http.ResponseWriter, id, content, finish string, tokens int64) {
 	usage := "null"
 	if tokens > 0 {
 		usage = fmt.Sprintf(`{"completion_tokens":%d}`, tokens)
@@ -168,7 +169,7 @@
 	}
 }
 
-// cancel stops a run and tells how many tokens were served.
+// cancel cancels a run and returns the number of tokens served.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	run, ok := e.byAttempt[r.Header.Get(engine.HeaderAttempt)]
--- a/backend/service.go
+++ b/backend/service.go
@@ -11,14 +11,14 @@
 	"github.com/gaplink/gaplink/engine"
 )
 
-// Service is a plain service stand-in. It is an http.Handler.
+// Service is a stand-in for a plain service. It implements http.Handler.
 type Service struct {
 	*base
 	mux   *http.ServeMux
 	delay time.Duration
 }
 
-// NewService returns a service that takes delay for each request.
+// NewService returns a service that waits delay before each response.
 func NewService(delay time.Duration) *Service {
 	s := &Service{base: newBase(), mux: http.NewServeMux(), delay: delay}
 	s.routes(s.mux)
@@ -29,7 +29,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// ServiceAnswer returns the body that the service gives for a body.
+// ServiceAnswer returns the response body for a request body.
 func ServiceAnswer(body []byte) string {
 	return fmt.Sprintf(`{"seal":"%016x"}`, xxhash.Sum64(body))
 }
@@ -38,7 +38,7 @@
 	body, _ := io.ReadAll(r.Body)
 	attempt := r.Header.Get(engine.HeaderAttempt)
 	_, fault := s.begin(attempt, Nonce(string(body)))
-	s.head(w)
+	s.setStatusHeaders(w)
 	if fault == Refuse {
 		w.Header().Set(engine.HeaderNotAccepted, "true")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -61,7 +61,7 @@
 	w.Header().Set(engine.HeaderAttempt, attempt)
 	answer := ServiceAnswer(body)
 	if fault == Unframed {
-		unframe(w)
+		disableFraming(w)
 		answer = answer[:len(answer)/2]
 	}
 	_, _ = io.WriteString(w, answer)
