--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -5,27 +5,27 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the metrics of one router. Use New.
+// Metrics holds the metrics of one router. Use New to create it.
 type Metrics struct {
-	// Registry holds all of them.
+	// Registry is the registry of all metrics.
 	Registry *prometheus.Registry
-	// Requests counts ended requests by result code.
+	// Requests counts finished requests by result code.
 	Requests *prometheus.CounterVec
 	// Attempts counts dispatch attempts by backend server and result code.
 	Attempts *prometheus.CounterVec
 	// Tokens counts served tokens by budget.
 	Tokens *prometheus.CounterVec
-	// Dropped counts pieces of answers that matched no request.
+	// Dropped counts response fragments that matched no request.
 	Dropped prometheus.Counter
-	// Seconds is the time from receipt to end, by kind of request.
+	// Seconds is the time from receipt to completion, by kind of request.
 	Seconds *prometheus.HistogramVec
-	// Unrecorded is the number of bills that wait for the store.
+	// Unrecorded is the number of billing records not yet written to the store.
 	Unrecorded prometheus.Gauge
-	// Revision is the configuration revision in force.
+	// Revision is the effective configuration revision.
 	Revision prometheus.Gauge
 }
 
-// New returns registered metrics.
+// New creates and registers the metrics.
 func New() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -55,7 +55,7 @@
 	return m
 }
 
-// Counter registers a counter that is read from a function.
+// Counter registers a counter whose value is returned by read.
 func (m *Metrics) Counter(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
