--- a/cli/command/command.go
+++ b/cli/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds what the daemons' command lines have in common.
+// Package command implements the parts that the command lines of the daemons share.
 package command
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// Execute runs a command line and returns the exit code. An error is written
+// Execute runs a command line and returns the exit code. It writes an error to errOut
 // with its result code.
 func Execute(root *cobra.Command, args []string, out, errOut io.Writer) int {
 	root.SetArgs(args)
@@ -23,8 +23,8 @@
 	return 0
 }
 
-// Daemon returns the root command of a daemon that runs by a settings file:
-// `run` serves by it, and `check` only reads it.
+// Daemon returns the root command of a daemon with a settings file: `run` loads the file
+// and serves, `check` only loads it.
 func Daemon[S any](name, short, defaultPath string, load func(path string) (S, error), serve func(path string, s S, out io.Writer) error) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true}
 	var path string
