--- a/cli/ctl/ctl.go
+++ b/cli/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the command line of gaplinkctl, the operators' client.
+// Package ctl implements the command line of gaplinkctl, the operators' client.
 package ctl
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// callTimeout bounds one command.
+// callTimeout limits one command.
 const callTimeout = 30 * time.Second
 
-// client calls one router.
+// client sends commands to one router.
 type client struct {
 	router   string
 	operator string
@@ -28,8 +28,8 @@
 	out      io.Writer
 }
 
-// Main runs the command line and returns the exit code: 0, or 1 with the
-// result code on standard error.
+// Main runs the command line and returns the exit code: 0 for success, or 1 after
+// writing the error with its result code to errOut.
 func Main(args []string, in io.Reader, out, errOut io.Writer) int {
 	c := &client{in: in, out: out}
 	root := c.command()
@@ -73,7 +73,7 @@
 	return fallback
 }
 
-// call runs a command at the router and decodes its result.
+// call executes a command at the router and decodes its result.
 func (c *client) call(name string, args, into any) error {
 	body, err := json.Marshal(args)
 	if err != nil {
@@ -95,19 +95,20 @@
 	return json.Unmarshal(resp.Result, into)
 }
 
-// show prints a result as JSON, or as text by the given function.
+// show prints a result as JSON, or as text with the given function. It returns the
+// first write error.
 func (c *client) show(v any, text func(io.Writer)) error {
 	if c.output == "json" {
 		enc := json.NewEncoder(c.out)
 		enc.SetIndent("", "  ")
 		return enc.Encode(v)
 	}
-	out := bufio.NewWriter(c.out) // it keeps the first error of a write
+	out := bufio.NewWriter(c.out) // Flush returns the first write error
 	text(out)
 	return out.Flush()
 }
 
-// line prints one formatted line.
-func line(w io.Writer, format string, args ...any) {
+// printLine prints one formatted printLine.
+func printLine(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format+"\n", args...)
 }
--- a/cli/ctl/limit.go
+++ b/cli/ctl/limit.go
@@ -25,6 +25,6 @@
 
 func printLimits(w io.Writer, all []limits.Listed) {
 	for _, l := range all {
-		line(w, "%s  %g requests/s, named %.1f s ago, owners %s", l.Server, l.PerSecond, l.NamedSecondsAgo, strings.Join(l.Owners, " "))
+		printLine(w, "%s  %g requests/s, named %.1f s ago, owners %s", l.Server, l.PerSecond, l.NamedSecondsAgo, strings.Join(l.Owners, " "))
 	}
 }
--- a/cli/ctl/objects.go
+++ b/cli/ctl/objects.go
@@ -34,7 +34,7 @@
 			if err := c.call(admin.AccountKey, admin.AccountArgs{ID: args[0]}, &answer); err != nil {
 				return err
 			}
-			return c.show(answer, func(w io.Writer) { line(w, "%s", answer.Key) })
+			return c.show(answer, func(w io.Writer) { printLine(w, "%s", answer.Key) })
 		},
 	}
 	list := &cobra.Command{
@@ -44,14 +44,14 @@
 	return group("account", "Client accounts and their keys", create, key, list)
 }
 
-// change runs a command that changes the configuration and prints its
-// revision.
+// change executes a command that changes the configuration and prints the status and
+// revision of the change.
 func (c *client) change(name string, args any) error {
 	var final table.Change
 	if err := c.call(name, args, &final); err != nil {
 		return err
 	}
-	return c.show(final, func(w io.Writer) { line(w, "%s at revision %d", final.Status, final.Revision) })
+	return c.show(final, func(w io.Writer) { printLine(w, "%s at revision %d", final.Status, final.Revision) })
 }
 
 func (c *client) objects(name string) error {
@@ -61,7 +61,7 @@
 	}
 	return c.show(list, func(w io.Writer) {
 		for _, o := range list {
-			line(w, "%-20s rev %-6d %s", o.Name, o.Revision, o.Value)
+			printLine(w, "%-20s rev %-6d %s", o.Name, o.Revision, o.Value)
 		}
 	})
 }
@@ -106,7 +106,7 @@
 			if err := c.call(admin.BudgetClose, admin.HolderArgs{Holder: args[0]}, &none); err != nil {
 				return err
 			}
-			return c.show(none, func(w io.Writer) { line(w, "closed") })
+			return c.show(none, func(w io.Writer) { printLine(w, "closed") })
 		},
 	}
 	return group("budget", "Prepaid budgets", create, topUp, show, closeHolder)
@@ -126,16 +126,16 @@
 		return err
 	}
 	return c.show(b, func(w io.Writer) {
-		line(w, "budget %s  limit %d", b.ID, b.Limit)
+		printLine(w, "budget %s  limit %d", b.ID, b.Limit)
 		if name != admin.BudgetShow {
 			return
 		}
-		line(w, "  issued             %d", b.Issued)
-		line(w, "  free               %d", b.Free)
-		line(w, "  held by routers    %d", b.Held)
-		line(w, "  spent or stranded  %d", b.SpentOrStranded)
+		printLine(w, "  issued             %d", b.Issued)
+		printLine(w, "  free               %d", b.Free)
+		printLine(w, "  held by routers    %d", b.Held)
+		printLine(w, "  spent or stranded  %d", b.SpentOrStranded)
 		if len(b.Silent) > 0 {
-			line(w, "  not answering: %s", strings.Join(b.Silent, ", "))
+			printLine(w, "  not answering: %s", strings.Join(b.Silent, ", "))
 		}
 	})
 }
@@ -197,7 +197,7 @@
 			}
 			return c.show(entries, func(w io.Writer) {
 				for _, e := range entries {
-					line(w, "%s %-10s rev %-5d %s: %s -> %s [%s]", e.At.Format("2006-01-02T15:04:05.000Z"), e.Operator, e.Revision, e.What, e.Before, e.After, e.Outcome)
+					printLine(w, "%s %-10s rev %-5d %s: %s -> %s [%s]", e.At.Format("2006-01-02T15:04:05.000Z"), e.Operator, e.Revision, e.What, e.Before, e.After, e.Outcome)
 				}
 			})
 		},
@@ -214,7 +214,7 @@
 			}
 			return c.show(sums, func(w io.Writer) {
 				for _, s := range sums {
-					line(w, "%-16s %-16s attempts %-8d tokens %d", s.Account, s.Budget, s.Attempts, s.Tokens)
+					printLine(w, "%-16s %-16s attempts %-8d tokens %d", s.Account, s.Budget, s.Attempts, s.Tokens)
 				}
 			})
 		},
@@ -230,9 +230,9 @@
 				return err
 			}
 			return c.show(s, func(w io.Writer) {
-				line(w, "%s ready=%t revision=%d", s.Instance, s.Ready, s.Revision)
+				printLine(w, "%s ready=%t revision=%d", s.Instance, s.Ready, s.Revision)
 				for _, m := range s.Members {
-					line(w, "  %-12s %-8s %-16s %s", m.ID, m.State, m.Domain, m.Addr)
+					printLine(w, "  %-12s %-8s %-16s %s", m.ID, m.State, m.Domain, m.Addr)
 				}
 			})
 		},
--- a/cli/ctl/table.go
+++ b/cli/ctl/table.go
@@ -56,7 +56,7 @@
 
 func (c *client) tableEdit() *cobra.Command {
 	var skip []string
-	var shownPath string
+	var basePath string
 	cmd := &cobra.Command{
 		Use: "edit FILE", Short: "Apply an edited CSV as one change; - reads standard input",
 		Long: "Apply an edited CSV as one change. Rows carry the revision that they were\n" +
@@ -66,20 +66,20 @@
 		Example: "  gaplinkctl table get > base.csv\n  cp base.csv new.csv; vi new.csv\n  gaplinkctl table edit new.csv --base base.csv",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			edits, err := c.edits(args[0], shownPath)
+			edits, err := c.edits(args[0], basePath)
 			if err != nil {
 				return err
 			}
 			return c.change(admin.TableApply, admin.TableApplyArgs{Edits: edits, Skip: skip})
 		},
 	}
-	cmd.Flags().StringVar(&shownPath, "base", "", "the CSV before editing; without it no row is deleted")
+	cmd.Flags().StringVar(&basePath, "base", "", "the CSV before editing; without it no row is deleted")
 	skipFlag(cmd, &skip)
 	return cmd
 }
 
-// edits reads the edited file and compares it with the base, or with the
-// table as it now stands.
+// edits returns the differences of the edited file from the base file, or from the
+// current table if there is none.
 func (c *client) edits(path, basePath string) ([]table.Edit, error) {
 	edited, err := c.readCSV(path)
 	if err != nil {
@@ -92,15 +92,15 @@
 		}
 		return table.DiffRows(base, edited), nil
 	}
-	now, err := c.rows()
+	current, err := c.rows()
 	if err != nil {
 		return nil, err
 	}
-	return table.DiffRows(keep(now, edited), edited), nil
+	return table.DiffRows(keepNamed(current, edited), edited), nil
 }
 
-// keep returns the present rows that the edited file names.
-func keep(now, edited []table.RowRevision) []table.RowRevision {
+// keepNamed returns the current rows that the edited file contains.
+func keepNamed(now, edited []table.RowRevision) []table.RowRevision {
 	named := map[string]bool{}
 	for _, r := range edited {
 		named[r.Name()] = true
--- a/cli/ctl/verdict.go
+++ b/cli/ctl/verdict.go
@@ -30,7 +30,7 @@
 			if err := c.call(verdicts.CommandLift, verdicts.LiftArgs{Fingerprint: args[0]}, &lifted); err != nil {
 				return err
 			}
-			return c.show(lifted, func(w io.Writer) { line(w, "%s may run", lifted.Fingerprint) })
+			return c.show(lifted, func(w io.Writer) { printLine(w, "%s may run", lifted.Fingerprint) })
 		},
 	}
 	return group("verdict", "Requests that are held back because servers ended under them", list, lift)
@@ -39,6 +39,6 @@
 func printVerdicts(w io.Writer, all []verdicts.Listed) {
 	for _, v := range all {
 		held := time.Duration(v.HeldForSeconds * float64(time.Second)).Round(time.Second)
-		line(w, "%s  verdict %d, for %s more, service %s; ended: %s", v.Fingerprint, v.Number, held, v.Service, strings.Join(v.Servers, " "))
+		printLine(w, "%s  verdict %d, for %s more, service %s; ended: %s", v.Fingerprint, v.Number, held, v.Service, strings.Join(v.Servers, " "))
 	}
 }
