--- a/cli/daemon/daemon.go
+++ b/cli/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is the command line of gaplinkd.
+// Package daemon implements the command line of gaplinkd.
 package daemon
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/gaplink/gaplink/settings"
 )
 
-// stopWithin bounds a planned stop.
-const stopWithin = 5 * time.Minute
+// stopTimeout limits a graceful shutdown.
+const stopTimeout = 5 * time.Minute
 
-// errFenced ends the daemon so that it is started anew, with nothing kept.
+// errFenced ends the daemon, so that it is restarted without any state.
 var errFenced = result.New(result.Leaving, "the fleet has taken this process to be dead; start it anew")
 
 // Main runs the command line and returns the exit code.
@@ -51,7 +51,7 @@
 		r.Close()
 		return errFenced
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	r.Stop(ctx)
 	return nil
