--- a/cli/gateway/gateway.go
+++ b/cli/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the command line of gaplink-gateway.
+// Package gateway implements the command line of gaplink-gateway.
 package gateway
 
 import (
@@ -26,7 +26,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before anything else: unnoticed, it ends the process
+	signal.Notify(reload, syscall.SIGHUP) // first of all, because an unhandled SIGHUP terminates the process
 	srv, err := server.New(s, platform.New(s.Store.Address, s.Store.Timeout.Std()), logs.NewWriter(out))
 	if err != nil {
 		return err
@@ -40,13 +40,13 @@
 	return nil
 }
 
-// rereadEvery is how often the settings file is read again: it may change
+// reloadInterval is the interval between reads of the settings file, which may change
 // without a signal.
-const rereadEvery = 5 * time.Second
+const reloadInterval = 5 * time.Second
 
-// watchSettings hands changed settings to the server.
+// watchSettings reloads the settings at each signal and each reloadInterval.
 func watchSettings(path string, srv *server.Server, reload <-chan os.Signal) {
-	ticker := time.NewTicker(rereadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
