--- a/cmd/gaplink-gateway/main.go
+++ b/cmd/gaplink-gateway/main.go
@@ -1,5 +1,5 @@
-// Command gaplink-gateway is the router on a platform that holds its
-// configuration, server registrations and budgets.
+// Command gaplink-gateway is the router for a platform that stores its configuration,
+// server registrations and budgets.
 package main
 
 import (
