--- a/cmd/gaplink-lab/main.go
+++ b/cmd/gaplink-lab/main.go
@@ -1,6 +1,5 @@
-// Command gaplink-lab runs gaplink against stand-ins: for a first try, for
-// demonstrations under faults, and for measurements. It is no part of a
-// deployment.
+// Command gaplink-lab runs gaplink against stand-ins, for a first trial, for
+// demonstrations with fault injection, and for measurements. It is not deployed.
 package main
 
 import (
