--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// sizes are the numbers of servers of deployments that are served or aimed at.
+// sizes are the server counts of current and planned deployments.
 var sizes = []int{94, 145, 1300, 3000, 9695, 20000}
 
 func put(servers *placement.Servers, n int) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// BenchmarkFirstList is what a router pays for the servers of a fleet when it starts.
+// BenchmarkFirstList measures registering all servers of a fleet and the first Pick, as at router start.
 func BenchmarkFirstList(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkPick is the choice of a server for a long prompt with a prefix.
+// BenchmarkPick measures picking a server for a long prompt with a prefix.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/placement/cold.go
+++ b/placement/cold.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// SetCold notes that a process is cold until a time at least, and tells whether that is a change:
-// the process was not known to be cold so long.
+// SetCold records that a process is in slow start until the given time or later. It reports whether
+// this extends the known end of the slow start by more than coldMargin.
 func (f *Servers) SetCold(in Incarnation, until time.Time) (changed bool) {
-	s := f.of(in)
+	s := f.lookup(in)
 	if s == nil || !until.After(s.coldUntil) {
 		return false
 	}
@@ -14,7 +14,7 @@
 	return changed
 }
 
-// In returns the servers of a failure domain.
+// In returns the servers in a failure domain.
 func (f *Servers) In(domain string) []Server {
 	var list []Server
 	for _, s := range f.byID {
@@ -25,13 +25,13 @@
 	return list
 }
 
-// IsCold tells whether a process is cold.
+// IsCold reports whether a process is in slow start.
 func (f *Servers) IsCold(now time.Time, in Incarnation) bool {
-	s := f.of(in)
+	s := f.lookup(in)
 	return s != nil && now.Before(s.coldUntil)
 }
 
-// Cold returns how many servers are cold.
+// Cold returns the number of servers in slow start.
 func (f *Servers) Cold(now time.Time) (n int) {
 	for _, s := range f.byID {
 		if now.Before(s.coldUntil) {
--- a/placement/evacuated_test.go
+++ b/placement/evacuated_test.go
@@ -7,9 +7,9 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// TestEvacuatedDomainGetsNoWork: neither new requests nor ones that were picked before and
-// are sent now, with and without a prefix; when it is taken back its servers are used at
-// once, and with all domains evacuated none is chosen.
+// TestEvacuatedDomainGetsNoWork checks that an evacuated domain gets neither new requests, with
+// or without a prefix, nor requests that were picked before the evacuation. With all domains
+// evacuated no server is picked, and a restored domain is used at once.
 func TestEvacuatedDomainGetsNoWork(t *testing.T) {
 	servers := placement.New()
 	for _, s := range []placement.Server{{ID: "a1", Domain: "a"}, {ID: "a2", Domain: "a"}, {ID: "b1", Domain: "b"}} {
@@ -20,12 +20,12 @@
 	held := placement.Incarnation{ID: "a1"}
 	servers.SetEvacuated([]string{"a", "unknown"})
 	if servers.MaySend(held) {
-		t.Error("a request that was held for a server of an evacuated domain may be sent")
+		t.Error("MaySend allows a server of an evacuated domain that was picked before")
 	}
 	for affinity := range uint64(50) {
 		s, ok := servers.Pick(rng, placement.Query{Service: "svc", Affinity: affinity, Domain: "a"})
 		if !ok || s.Domain == "a" {
-			t.Fatalf("picked %+v, %v", s, ok)
+			t.Fatalf("picked %+v, %v; want a server of domain b", s, ok)
 		}
 	}
 	servers.SetEvacuated([]string{"a", "b"})
@@ -34,6 +34,6 @@
 	}
 	servers.SetEvacuated(nil)
 	if !servers.MaySend(held) {
-		t.Error("the domain was taken back and is not used")
+		t.Error("MaySend refuses a server of a restored domain")
 	}
 }
--- a/placement/group.go
+++ b/placement/group.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// forgetFailures is the failure rate below which a server counts as sound.
-	forgetFailures = 0.001
-	// pacesAtOnce is the number of measured servers up to which the bound on fast ones is worked
-	// out for each request, and pacesEvery how often it is for more.
-	pacesAtOnce = 256
-	pacesEvery  = 250 * time.Millisecond
+	// negligibleFailureRate is the failure rate below which a server counts as healthy.
+	negligibleFailureRate = 0.001
+	// maxUncachedIntervals is the number of measured servers up to which the limit for fast servers
+	// is computed for each request. Above it, the limit is recomputed every fastLimitTTL.
+	maxUncachedIntervals = 256
+	fastLimitTTL         = 250 * time.Millisecond
 )
 
-// group holds the servers of one service. A router of a large fleet knows thousands of servers and
-// has sent requests to few of them, so that what it has observed is kept apart.
+// group holds the servers of one service. A router of a large fleet knows thousands of servers but
+// has sent requests to few of them, so the servers with observations are listed separately.
 type group struct {
-	// list are the servers in the order of their ids, so that seeded runs repeat, and hashes
-	// their hashes.
+	// list holds the servers ordered by id, so that seeded runs are deterministic, and hashes
+	// their hashes in the same order.
 	list   []*state
 	hashes []uint64
-	// domains counts them by failure domain.
+	// domains counts the servers by failure domain.
 	domains map[string]int
-	// noted are those that differ from a server of which nothing is known but its registration,
-	// and measured those whose pace is known.
-	noted, measured []*state
-	// fastBound is the pace up to which servers are fast, as it was at boundAt.
-	fastBound float64
-	boundAt   time.Time
-	paces     []float64 // reused
+	// observed holds the servers with observed state beyond their registration, and measured those
+	// with a known event interval.
+	observed, measured []*state
+	// fastLimit is the event interval in seconds up to which servers count as fast, as computed at
+	// fastLimitAt.
+	fastLimit   float64
+	fastLimitAt time.Time
+	intervals   []float64 // scratch buffer, reused between calls
 }
 
 func newGroup() *group { return &group{domains: map[string]int{}} }
@@ -43,13 +44,13 @@
 	g.list = slices.Insert(g.list, at, s)
 	g.hashes = slices.Insert(g.hashes, at, s.hash)
 	g.domains[s.Domain]++
-	g.note(s)
-	if s.pace > 0 {
-		g.measure(s)
+	g.observe(s)
+	if s.eventInterval > 0 {
+		g.addMeasured(s)
 	}
 }
 
-// remove removes a server, which is forgotten or moves to another group.
+// remove removes a server that was deregistered or moves to another group.
 func (g *group) remove(s *state) {
 	at, found := slices.BinarySearchFunc(g.list, s.ID, byID)
 	if !found {
@@ -58,54 +59,54 @@
 	g.list = slices.Delete(g.list, at, at+1)
 	g.hashes = slices.Delete(g.hashes, at, at+1)
 	g.domains[s.Domain]--
-	isIt := func(other *state) bool { return other == s }
-	g.noted = slices.DeleteFunc(g.noted, isIt)
-	g.measured = slices.DeleteFunc(g.measured, isIt)
-	s.noted, s.measured = false, false
+	isServer := func(other *state) bool { return other == s }
+	g.observed = slices.DeleteFunc(g.observed, isServer)
+	g.measured = slices.DeleteFunc(g.measured, isServer)
+	s.observed, s.measured = false, false
 }
 
-// note has a server be looked at when the group is summed up.
-func (g *group) note(s *state) {
-	if !s.noted && s.differs() {
-		s.noted = true
-		g.noted = append(g.noted, s)
+// observe adds a server with observed state to the servers that load aggregates.
+func (g *group) observe(s *state) {
+	if !s.observed && s.hasObservations() {
+		s.observed = true
+		g.observed = append(g.observed, s)
 	}
 }
 
-// measure notes that the pace of a server is known.
-func (g *group) measure(s *state) {
+// addMeasured records that the event interval of a server is known.
+func (g *group) addMeasured(s *state) {
 	if !s.measured {
 		s.measured = true
 		g.measured = append(g.measured, s)
 	}
 }
 
-// differs tells whether anything is known of a server that bears on a choice beside its
-// registration and its pace.
-func (s *state) differs() bool {
-	return s.inFlight > 0 || s.pending > 0 || s.silent > 0 || s.failureRate >= forgetFailures || s.Leaving || s.ejected
+// hasObservations reports whether the server has state that affects selection, apart from its
+// registration and its event interval.
+func (s *state) hasObservations() bool {
+	return s.inFlight > 0 || s.pending > 0 || s.consecutiveUnreachable > 0 || s.failureRate >= negligibleFailureRate || s.Leaving || s.ejected
 }
 
-// load sums up the servers of a group that a request may go to.
-type load struct {
+// groupLoad aggregates the servers of a group that are eligible for a request.
+type groupLoad struct {
 	up, inFlight int
 	failures     float64
 }
 
-// load returns the load for a request, whatever the rates of servers. It forgets what is known of
-// servers that have recovered.
-func (f *Servers) load(g *group, q Query) load {
-	l := load{}
+// load returns the aggregate load of the servers eligible for a request, ignoring their rate limits.
+// It also drops servers from the observed list that were removed or have recovered.
+func (f *Servers) load(g *group, q Query) groupLoad {
+	l := groupLoad{}
 	allows := func(domain string) bool { return !f.evacuated[domain] && (q.InDomain == nil || q.InDomain(domain)) }
 	for domain, n := range g.domains {
 		if allows(domain) {
 			l.up += n
 		}
 	}
-	kept := g.noted[:0]
-	for _, s := range g.noted {
-		if s.gone || !s.differs() {
-			s.noted = false
+	kept := g.observed[:0]
+	for _, s := range g.observed {
+		if s.removed || !s.hasObservations() {
+			s.observed = false
 			continue
 		}
 		kept = append(kept, s)
@@ -118,55 +119,55 @@
 			l.failures += s.failureRate
 		}
 	}
-	clear(g.noted[len(kept):])
-	g.noted = kept
+	clear(g.observed[len(kept):])
+	g.observed = kept
 	return l
 }
 
-// spared are the bounds beyond which a server is spared as long as others are within them.
-type spared struct {
-	failureRate, pace float64
-	inFlight          int
-	pending           int64
+// pickLimits are the limits above which a server is avoided while other servers are within them.
+type pickLimits struct {
+	failureRate, eventInterval float64
+	inFlight                   int
+	pending                    int64
 }
 
-// spares returns the bounds for a request.
-func (f *Servers) spares(g *group, q Query, isLong bool) (spared, bool) {
+// limitsFor returns the limits for a request; false means that no server is eligible.
+func (f *Servers) limitsFor(g *group, q Query, isLong bool) (pickLimits, bool) {
 	l := f.load(g, q)
 	if l.up <= 0 {
-		return spared{}, false
+		return pickLimits{}, false
 	}
-	b := spared{
-		failureRate: 2*l.failures/float64(l.up) + failureSlack,
-		pace:        math.Inf(1),
-		inFlight:    max(loadFloor, int(loadSlack*float64(l.inFlight)/float64(l.up))),
-		pending:     pendingBound,
+	limits := pickLimits{
+		failureRate:   2*l.failures/float64(l.up) + failureRateMargin,
+		eventInterval: math.Inf(1),
+		inFlight:      max(minLoadLimit, int(maxLoadFactor*float64(l.inFlight)/float64(l.up))),
+		pending:       maxPendingTokens,
 	}
 	if q.Affinity == 0 {
-		b.inFlight = 0
+		limits.inFlight = 0
 	}
 	if isLong {
-		b.pace = g.fastest(q.Now)
+		limits.eventInterval = g.currentFastLimit(q.Now)
 	}
-	return b, true
+	return limits, true
 }
 
-// fastest returns the pace, in seconds, up to which servers are fast.
-func (g *group) fastest(now time.Time) float64 {
-	if len(g.measured) > pacesAtOnce && !g.boundAt.IsZero() && now.Sub(g.boundAt) < pacesEvery {
-		return g.fastBound
+// currentFastLimit returns the event interval, in seconds, up to which servers count as fast.
+func (g *group) currentFastLimit(now time.Time) float64 {
+	if len(g.measured) > maxUncachedIntervals && !g.fastLimitAt.IsZero() && now.Sub(g.fastLimitAt) < fastLimitTTL {
+		return g.fastLimit
 	}
-	g.paces = g.paces[:0]
+	g.intervals = g.intervals[:0]
 	for _, s := range g.measured {
-		g.paces = append(g.paces, s.pace)
+		g.intervals = append(g.intervals, s.eventInterval)
 	}
-	g.fastBound, g.boundAt = boundOf(g.paces), now
-	return g.fastBound
+	g.fastLimit, g.fastLimitAt = fastLimitOfIntervals(g.intervals), now
+	return g.fastLimit
 }
 
-// takes tells whether a server may get a request within the bounds.
-func (f *Servers) takes(s *state, q *Query, b *spared) bool {
+// accepts reports whether a server is eligible for a request and within the limits.
+func (f *Servers) accepts(s *state, q *Query, limits *pickLimits) bool {
 	return s.usable(q.Tried) && !s.ejected && !f.evacuated[s.Domain] &&
-		s.failureRate <= b.failureRate && s.inFlight <= b.inFlight && s.pending <= b.pending && s.pace <= b.pace &&
+		s.failureRate <= limits.failureRate && s.inFlight <= limits.inFlight && s.pending <= limits.pending && s.eventInterval <= limits.eventInterval &&
 		q.allows(s)
 }
--- a/placement/open.go
+++ b/placement/open.go
@@ -2,29 +2,29 @@
 
 import "math/rand/v2"
 
-// A choice among thousands of servers looks at the hash of each, which takes a nanosecond, and at
-// what is known of the few that rank before all others so far.
+// A selection among thousands of servers computes the rank of each from its hash, which takes about
+// a nanosecond, and checks the state only of the few that outrank all servers accepted so far.
 
-// pickOpen returns the best server that there is no reason to spare; nil: there is none.
-func (f *Servers) pickOpen(rng *rand.Rand, q Query, isLong bool) *state {
+// pickWithinLimits returns the best server within all limits, or nil if there is none.
+func (f *Servers) pickWithinLimits(rng *rand.Rand, q Query, isLong bool) *state {
 	g := f.groupOf(q.Service)
-	bounds, ok := f.spares(g, q, isLong)
+	limits, ok := f.limitsFor(g, q, isLong)
 	if !ok {
 		return nil
 	}
 	if q.Affinity != 0 {
-		return f.firstOf(g, q.Affinity, &q, &bounds, nil)
+		return f.highestRanked(g, q.Affinity, &q, &limits, nil)
 	}
-	near := func(s *state) bool { return s.Domain == q.Domain }
-	if s := f.firstOf(g, f.order, &q, &bounds, near); s != nil {
+	local := func(s *state) bool { return s.Domain == q.Domain }
+	if s := f.highestRanked(g, f.order, &q, &limits, local); s != nil {
 		return s
 	}
-	return f.firstOf(g, rng.Uint64(), &q, &bounds, nil)
+	return f.highestRanked(g, rng.Uint64(), &q, &limits, nil)
 }
 
-// firstOf returns the first server of a group in the rendezvous order of a key that takes the
-// request within the bounds.
-func (f *Servers) firstOf(g *group, key uint64, q *Query, bounds *spared, counts func(*state) bool) *state {
+// highestRanked returns the server of a group with the highest rendezvous rank for a key that
+// accepts the request within the limits and matches the filter; a nil filter matches all servers.
+func (f *Servers) highestRanked(g *group, key uint64, q *Query, limits *pickLimits, matches func(*state) bool) *state {
 	var best *state
 	var bestRank uint64
 	for i, hash := range g.hashes {
@@ -33,7 +33,7 @@
 			continue
 		}
 		s := g.list[i]
-		if (counts == nil || counts(s)) && f.takes(s, q, bounds) {
+		if (matches == nil || matches(s)) && f.accepts(s, q, limits) {
 			best, bestRank = s, rank
 		}
 	}
--- a/placement/open_test.go
+++ b/placement/open_test.go
@@ -11,8 +11,8 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// TestChoiceIsTheFirstOfTheOrderThatIsNotSpared draws what a router knows of the servers, and
-// compares each choice with one made by looking at all of them.
+// TestChoiceIsTheFirstOfTheOrderThatIsNotSpared generates random server states and compares each
+// pick with the result of a full scan.
 func TestChoiceIsTheFirstOfTheOrderThatIsNotSpared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const servers = 12
@@ -39,18 +39,19 @@
 		f.SetEvacuated(rapid.SampledFrom([][]string{nil, {"z1"}, {"z0", "z2"}}).Draw(t, "evacuated"))
 		q := placement.Query{Service: "llm", Affinity: rapid.Uint64Range(1, 50).Draw(t, "prefix"), Domain: "z1"}
 		got, ok := f.Pick(seeded(), q)
-		if ok != f.PickByAll(q) {
-			t.Fatalf("chosen: %v, though a look at all says otherwise", ok)
+		if ok != f.ScanFindsAny(q) {
+			t.Fatalf("Pick returned %v, the full scan the opposite", ok)
 		}
-		if want, found := f.PickOfAll(q); found && ok && got.ID != want {
-			t.Fatalf("%s is chosen, and %s by a look at all", got.ID, want)
+		if want, found := f.ScanByPrefix(q); found && ok && got.ID != want {
+			t.Fatalf("Pick returned %s, the full scan %s", got.ID, want)
 		}
 	})
 }
 
-// TestIdleServersOfADomainAreSharedOut: many routers with few requests each must not all begin
-// with the same server, and one router keeps to few, whose connections it keeps.
-func TestIdleServersOfADomainAreSharedOut(t *testing.T) {
+// TestRoutersSpreadOverIdleServersOfADomain guards against many routers with few requests each that all
+// prefer the same idle server. A single router must prefer one server, so that it can reuse its
+// connections.
+func TestRoutersSpreadOverIdleServersOfADomain(t *testing.T) {
 	const routers, servers = 200, 305
 	chosen := map[string]int{}
 	for n := range routers {
@@ -63,13 +64,13 @@
 		for range 10 {
 			s, ok := f.Pick(seeded(), placement.Query{Service: "app", Domain: "z2"})
 			if !ok || s.Domain != "z2" {
-				t.Fatalf("%+v is chosen in another domain", s)
+				t.Fatalf("picked %+v, want a server of domain z2", s)
 			}
 			own[s.ID] = true
 			chosen[s.ID]++
 		}
 		if len(own) != 1 {
-			t.Fatalf("a router sends ten requests, one after the other, to %d servers", len(own))
+			t.Fatalf("a router sent ten sequential requests to %d servers, want 1", len(own))
 		}
 	}
 	most := 0
@@ -77,11 +78,12 @@
 		most = max(most, n)
 	}
 	if mean := routers * 10 / (servers / 5); most > 5*mean {
-		t.Errorf("a server gets %d requests, the mean of its domain is %d", most, mean)
+		t.Errorf("one server got %d requests; the mean of its domain is %d", most, mean)
 	}
 }
 
-// TestChoiceDoesNotGrowWithTheServers: without memory, whatever their number.
+// TestChoiceDoesNotGrowWithTheServers checks that Pick does not allocate memory in proportion to
+// the number of servers.
 func TestChoiceDoesNotGrowWithTheServers(t *testing.T) {
 	servers := placement.New()
 	put(servers, 20000)
@@ -92,6 +94,6 @@
 		s, _ := servers.Pick(rng, placement.Query{Service: "svc", Affinity: prefix, Prompt: int64(prefix), Now: time.Unix(int64(prefix), 0)})
 		servers.Sent(s.Incarnation(), 1000)
 	}); n > 1 {
-		t.Errorf("%v allocations a choice", n)
+		t.Errorf("%v allocations per pick, want at most 1", n)
 	}
 }
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -1,67 +1,67 @@
 package placement
 
-// This file is what requests tell of the servers at which they run and end.
+// This file updates the state of servers from the progress and the outcome of their requests.
 
-// Outcome is how a request ended at a server, as far as it tells of the
-// server.
+// Outcome is how a request ended at a server, as far as it reflects on the
+// health of the server.
 type Outcome int
 
-// The outcomes.
+// Request outcomes.
 const (
-	// Neutral says nothing about the server: the caller left.
+	// Neutral says nothing about the server: the caller disconnected.
 	Neutral Outcome = iota
-	// Answered: the server answered well.
+	// Answered: the server returned a successful response.
 	Answered
-	// Failed: the server answered with an error, broke off or was too slow.
+	// Failed: the server returned an error, broke off its response or timed out.
 	Failed
-	// Silent: the server could not be reached.
+	// Silent: the server was unreachable.
 	Silent
 )
 
-// Sent counts a request that is being sent to a server, with the prompt tokens
-// that it has to read.
+// Sent counts a request that is being sent to a server, and the prompt tokens
+// that the server has to process for it.
 func (f *Servers) Sent(in Incarnation, tokens int64) {
-	if s := f.of(in); s != nil {
+	if s := f.lookup(in); s != nil {
 		s.inFlight++
 		s.pending += tokens
-		f.note(s)
+		f.observe(s)
 	}
 }
 
-// Read counts the tokens of a prompt that a server has read, or will not read any more.
+// Read subtracts prompt tokens that a server has processed, or will not process any more.
 func (f *Servers) Read(in Incarnation, tokens int64) {
-	if s := f.of(in); s != nil {
+	if s := f.lookup(in); s != nil {
 		s.pending = max(s.pending-tokens, 0)
 	}
 }
 
-// Ended counts the end of a request, and tells whether the server is ejected because of it.
+// Ended counts the end of a request and reports whether the server is ejected afterwards.
 func (f *Servers) Ended(in Incarnation, outcome Outcome) (ejected bool) {
-	s := f.of(in)
+	s := f.lookup(in)
 	if s == nil {
 		return false
 	}
 	s.inFlight = max(s.inFlight-1, 0)
 	switch outcome {
 	case Answered:
-		s.silent = 0
+		s.consecutiveUnreachable = 0
 		s.ejected = false
-		s.failureRate -= failureMemory * s.failureRate
+		s.failureRate -= failureRateWeight * s.failureRate
 	case Failed:
-		s.failureRate += failureMemory * (1 - s.failureRate)
+		s.failureRate += failureRateWeight * (1 - s.failureRate)
 	case Silent:
-		s.silent++
-		s.failureRate += failureMemory * (1 - s.failureRate)
-		s.ejected = s.ejected || s.silent >= silentFailures
+		s.consecutiveUnreachable++
+		s.failureRate += failureRateWeight * (1 - s.failureRate)
+		s.ejected = s.ejected || s.consecutiveUnreachable >= ejectAfterUnreachable
 	}
-	f.note(s)
+	f.observe(s)
 	return s.ejected
 }
 
 // Restored ends the ejection of a server.
 func (f *Servers) Restored(in Incarnation) {
-	if s := f.of(in); s != nil {
+	if s := f.lookup(in); s != nil {
 		s.ejected = false
-		s.silent = 0
+		s.consecutiveUnreachable = 0
 	}
 }
--- a/placement/pace_test.go
+++ b/placement/pace_test.go
@@ -8,33 +8,33 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// The load of this file is that of two kinds of streams on servers of which a
-// third are slower by a third: many short prompts with long answers, and fewer
-// prompts ten times as long, whose reading holds the others up. The figures are
-// in proportion to what routers saw on played days: 13 ms and 17 ms between two
-// events, one event in five late by some hundred milliseconds.
+// These tests simulate two kinds of streams on servers of which a third are slower
+// by a third: many short prompts with long answers, and fewer prompts ten times as
+// long, whose processing delays the other streams. The figures are in proportion to
+// those of routers in replayed load: 13 ms and 17 ms between two events, one event
+// in five late by some hundred milliseconds.
 const (
 	fastGap, slowGap = 13 * time.Millisecond, 17 * time.Millisecond
-	heldUp           = 200 * time.Millisecond
+	eventDelay       = 200 * time.Millisecond
 	shortPrompt      = 800
 	longPrompt       = 9000
 )
 
-// slowThird tells whether a server of the tests is a slow one.
+// slowThird reports whether the server with index i is a slow one.
 func slowThird(i int) bool { return i%3 == 2 }
 
-// stream notes the events of one stream at a server.
+// stream records the events of one stream at a server, of which every fifth is delayed.
 func stream(f *placement.Servers, id string, gap time.Duration) {
 	for event := range 60 {
 		if event%5 == 4 {
-			f.Paced(incarnation(id), gap+heldUp)
+			f.Paced(incarnation(id), gap+eventDelay)
 			continue
 		}
 		f.Paced(incarnation(id), gap)
 	}
 }
 
-// twoSpeeds returns twelve servers, of which a router has seen some streams.
+// twoSpeeds returns twelve servers of two speeds, each with four recorded streams.
 func twoSpeeds() *placement.Servers {
 	f := placement.New()
 	for i := range 12 {
@@ -51,14 +51,14 @@
 	return f
 }
 
-// picks sends requests of a prompt size with many prefixes and returns how many
-// went to each server.
+// picks requests servers for short and long prompts with many prefixes and returns
+// how many of the given prompt size went to each server.
 func picks(t *testing.T, f *placement.Servers, prompt int64) map[string]int {
 	t.Helper()
 	rng := seeded()
 	chosen := map[string]int{}
 	for i := range 300 {
-		// The sizes take turns, so that the mean lies between them.
+		// The sizes alternate, so that the moving average is between them.
 		for _, size := range []int64{shortPrompt, longPrompt} {
 			affinity := placement.Affinity([]string{fmt.Sprint(size, "/", i)})
 			s, ok := f.Pick(rng, placement.Query{Service: "llm", Affinity: affinity, Tokens: size, Prompt: size})
@@ -73,8 +73,8 @@
 	return chosen
 }
 
-// TestLongPromptsGoToFastServers: long prompts leave the slow third alone, short
-// ones use all servers.
+// TestLongPromptsGoToFastServers checks that long prompts avoid the slow third of the
+// servers and that short ones use all.
 func TestLongPromptsGoToFastServers(t *testing.T) {
 	long := picks(t, twoSpeeds(), longPrompt)
 	short := picks(t, twoSpeeds(), shortPrompt)
@@ -82,7 +82,7 @@
 	for i := range 12 {
 		id := fmt.Sprintf("s%02d", i)
 		if _, told := slow[id]; told != slowThird(i) {
-			t.Errorf("%s told to be slow: %v", id, told)
+			t.Errorf("%s reported as slow: %v", id, told)
 		}
 		if slowThird(i) && long[id] > 0 {
 			t.Errorf("%d long prompts at the slow server %s", long[id], id)
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestServerThatTurnsSlowIsNoticed: a server that becomes slow loses the long
-// prompts within some twenty streams, and one that recovers gets them back.
+// TestServerThatTurnsSlowIsNoticed checks that a server that becomes slow gets no long
+// prompts after twenty streams, and gets them again two streams after it recovers.
 func TestServerThatTurnsSlowIsNoticed(t *testing.T) {
 	f := twoSpeeds()
 	for range 20 {
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestUnknownServersTakeLongPrompts: before any stream is seen all servers are
-// alike, and a new server takes its part at once.
+// TestUnknownServersTakeLongPrompts checks that servers without a known event interval
+// get long prompts, both when no interval is known and as new servers among measured ones.
 func TestUnknownServersTakeLongPrompts(t *testing.T) {
 	f := placement.New()
 	for i := range 6 {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement chooses the backend server of a request from what one
-// router knows: the registered servers, its own requests in flight, and how
-// its own requests ended.
+// Package placement selects the backend server for a request from the local
+// state of one router: the registered servers, its own requests in flight, and
+// the outcomes of its own requests.
 //
-// Requests with the same prompt prefix go to the same server over all routers,
-// by rendezvous hashing, as long as that server is not much busier than the
+// All routers send requests with the same prompt prefix to the same server, by
+// rendezvous hashing, as long as that server is not much more loaded than the
 // others. The package is pure: callers pass the time and the random source.
 package placement
 
@@ -16,108 +16,109 @@
 )
 
 const (
-	// loadSlack is how much busier than its service's mean the server of a
-	// prefix may be before another takes the request.
-	loadSlack = 2.0
-	// loadFloor is the number of own requests in flight up to which a server
-	// is never too busy for its prefix.
-	loadFloor = 10
-	// failureMemory is the weight of the newest outcome in a server's failure
-	// rate; about the last ten requests count.
-	failureMemory = 0.1
-	// failureSlack is how far a server's failure rate may lie above twice its
-	// service's mean before it is avoided. Plain services answer a part of
-	// their requests with errors of their own.
-	failureSlack = 0.25
-	// pendingBound is the number of own prompt tokens not yet read up to which
-	// a server is not too busy for its prefix: about a second at an engine.
-	pendingBound = 60000
+	// maxLoadFactor is the load, as a multiple of the mean of the service, up to
+	// which the preferred server of a prefix gets its requests.
+	maxLoadFactor = 2.0
+	// minLoadLimit is the number of own requests in flight up to which a server
+	// is never overloaded for its prefixes.
+	minLoadLimit = 10
+	// failureRateWeight is the weight of the newest outcome in the moving average
+	// of a server's failure rate; about the last ten requests count.
+	failureRateWeight = 0.1
+	// failureRateMargin is how far a server's failure rate may be above twice the
+	// mean of its service before the server is avoided. Services other than
+	// engines answer a part of their requests with errors of their own.
+	failureRateMargin = 0.25
+	// maxPendingTokens is the number of own unprocessed prompt tokens up to which
+	// a server is not overloaded for its prefixes: about a second of engine time.
+	maxPendingTokens = 60000
 	// coldMargin is how much later than known the end of a server's slow start must be to count
-	// as a change: what the server writes of it is as old as its propagation.
+	// as a change: the server's own report of it is outdated by its propagation delay.
 	coldMargin = 700 * time.Millisecond
-	// silentFailures in a row without any answer eject a server.
-	silentFailures = 2
+	// ejectAfterUnreachable is the number of consecutive requests that do not reach a server
+	// after which the server is ejected.
+	ejectAfterUnreachable = 2
 )
 
-// Incarnation names one process of a backend server. A server that starts again may
-// keep its id; what was known of the process before says nothing of the new one.
+// Incarnation identifies one process of a backend server. A restarted server may keep
+// its id, but the state of the previous process does not apply to the new one.
 type Incarnation struct {
 	ID string
-	// Started is when the process started, in Unix milliseconds by the server's
-	// clock; 0 if the server does not tell.
+	// Started is the start time of the process, in Unix milliseconds by the server's
+	// clock; 0 if the server does not report it.
 	Started int64
 }
 
 // Server is one registered backend server.
 type Server struct {
 	ID string
-	// Started is the process's start, as in Incarnation.
+	// Started is the start time of the process, as in Incarnation.
 	Started int64
 	Service string
 	// Address is IP:port.
 	Address string
 	// Domain is its failure domain.
 	Domain string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Leaving tells that it takes no new work.
+	// Leaving is set when the server accepts no new requests.
 	Leaving bool
-	// Renewals counts how often it has written its registration since its start.
+	// Renewals counts how often the process has written its registration since its start.
 	Renewals int64
-	// Cold is how much longer it was cold when it wrote its registration.
+	// Cold is the remaining time of the slow start when the server wrote its registration.
 	Cold time.Duration
 }
 
-// Incarnation returns which process of the server this is.
+// Incarnation returns the identity of the server process.
 func (s Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Started: s.Started} }
 
-// state is what the router knows of one process of a server.
+// state is the local state of a router for one server process.
 type state struct {
 	Server
 	hash     uint64
 	inFlight int
-	// pending are the prompt tokens that the server has yet to read.
+	// pending is the number of prompt tokens that the server has yet to process.
 	pending     int64
 	failureRate float64
-	// pace is the estimate of Paced, in seconds; 0: unknown.
-	pace    float64
-	silent  int
-	ejected bool
-	// coldUntil is until when the server is cold, as far as known.
+	// eventInterval is the estimate that Paced maintains, in seconds; 0 if unknown.
+	eventInterval          float64
+	consecutiveUnreachable int
+	ejected                bool
+	// coldUntil is the latest known end of the slow start.
 	coldUntil time.Time
-	// noted and measured tell that the state is in the lists of its group, and gone that the
-	// process is not known any more.
-	noted, measured, gone bool
+	// observed and measured are set while the state is in the list of that name in its group, and
+	// removed when the process is no longer registered.
+	observed, measured, removed bool
 }
 
 func (s *state) usable(tried map[Incarnation]bool) bool {
 	return !s.Leaving && !tried[s.Incarnation()]
 }
 
-// Servers is the router's knowledge of all backend servers. It is not safe for
-// concurrent use.
+// Servers holds the state of one router for all backend servers. It is not safe
+// for concurrent use.
 type Servers struct {
 	byID map[string]*state
-	// groups are the servers by service.
+	// groups holds the servers by service.
 	groups map[string]*group
-	// order is the seed of this router's own order of servers that are alike.
+	// order is the seed of the order in which this router prefers equivalent servers.
 	order uint64
-	// meanPrompt is the mean size of prompts by service, in tokens.
+	// meanPrompt is the moving average of the prompt size by service, in tokens.
 	meanPrompt map[string]float64
-	// evacuated are the failure domains whose servers get no work.
+	// evacuated are the failure domains whose servers get no requests.
 	evacuated map[string]bool
 }
 
-// New returns a Servers that knows none.
+// New returns an empty Servers.
 func New() *Servers {
 	return &Servers{byID: map[string]*state{}, groups: map[string]*group{}, meanPrompt: map[string]float64{}}
 }
 
-// SetOrder sets the seed of this router's own order of servers that are alike. Routers with
-// different seeds spread their requests, and each keeps to few connections.
+// SetOrder sets the seed of the order in which this router prefers equivalent servers. Routers with
+// different seeds spread their requests over the servers, while each needs only few connections.
 func (f *Servers) SetOrder(seed uint64) { f.order = seed }
 
-// groupOf returns the group of a service.
+// groupOf returns the group of a service, creating it if necessary.
 func (f *Servers) groupOf(service string) *group {
 	g, ok := f.groups[service]
 	if !ok {
@@ -127,10 +128,10 @@
 	return g
 }
 
-// Put adds a server or updates it. A process that was said to be leaving stays
-// so. Another process under the same id takes the place of the one before, and
-// nothing known of that one holds for it. Which of two is the later one is for the
-// caller to know: the clock of a server may have been set back between its starts.
+// Put adds or updates a server. A process that is leaving stays so. Another process
+// under the same id replaces the previous one and starts with empty state. The caller
+// decides which of two processes is the later one: the clock of a server may have been
+// set back between its starts.
 func (f *Servers) Put(s Server) {
 	old, ok := f.byID[s.ID]
 	if !ok || s.Started != old.Started {
@@ -148,17 +149,17 @@
 		return
 	}
 	old.Server = s
-	f.note(old)
+	f.observe(old)
 }
 
-// note has the group of a server look at it when it sums up what is known.
-func (f *Servers) note(s *state) {
-	f.groupOf(s.Service).note(s)
+// observe adds a server to the observed servers of its group.
+func (f *Servers) observe(s *state) {
+	f.groupOf(s.Service).observe(s)
 }
 
-// of returns what is known of a process, or nil once it is gone or another one
-// runs under its id.
-func (f *Servers) of(in Incarnation) *state {
+// lookup returns the state lookup a process, or nil if it is not registered or another
+// process runs under its id.
+func (f *Servers) lookup(in Incarnation) *state {
 	s, ok := f.byID[in.ID]
 	if !ok || s.Incarnation() != in {
 		return nil
@@ -166,8 +167,8 @@
 	return s
 }
 
-// Remove forgets a server. If it comes back, its counts start anew, and requests
-// that were sent before end without being counted.
+// Remove removes a server. If it is added again, its counts start from zero and
+// do not become negative when requests that were sent before end.
 func (f *Servers) Remove(id string) {
 	s, ok := f.byID[id]
 	if !ok {
@@ -175,19 +176,19 @@
 	}
 	delete(f.byID, id)
 	f.groupOf(s.Service).remove(s)
-	s.gone = true
+	s.removed = true
 }
 
-// Leave marks a process that takes no new work.
+// Leave marks a process as leaving: it gets no new requests.
 func (f *Servers) Leave(in Incarnation) {
-	if s := f.of(in); s != nil {
+	if s := f.lookup(in); s != nil {
 		s.Leaving = true
-		f.note(s)
+		f.observe(s)
 	}
 }
 
-// SetEvacuated sets the evacuated failure domains: none of their servers gets work,
-// until a call without them.
+// SetEvacuated replaces the set of evacuated failure domains. Their servers get no
+// requests while they are in the set.
 func (f *Servers) SetEvacuated(domains []string) {
 	f.evacuated = make(map[string]bool, len(domains))
 	for _, domain := range domains {
@@ -195,7 +196,7 @@
 	}
 }
 
-// All returns the known servers in the order of their ids.
+// All returns the registered servers ordered by id.
 func (f *Servers) All() []Server {
 	all := make([]Server, 0, len(f.byID))
 	for _, s := range f.byID {
@@ -205,16 +206,16 @@
 	return all
 }
 
-// Has tells whether the server is known.
+// Has reports whether a server is registered.
 func (f *Servers) Has(id string) bool {
 	_, ok := f.byID[id]
 	return ok
 }
 
-// Runs tells whether this process is the one known of its server.
-func (f *Servers) Runs(in Incarnation) bool { return f.of(in) != nil }
+// Runs reports whether this process is the registered one of its server.
+func (f *Servers) Runs(in Incarnation) bool { return f.lookup(in) != nil }
 
-// Get returns a known server.
+// Get returns a registered server.
 func (f *Servers) Get(id string) (Server, bool) {
 	s, ok := f.byID[id]
 	if !ok {
@@ -223,31 +224,31 @@
 	return s.Server, true
 }
 
-// TakesWork tells whether a process runs and has not said that it leaves.
+// TakesWork reports whether a process is registered and not leaving.
 func (f *Servers) TakesWork(in Incarnation) bool {
-	s := f.of(in)
+	s := f.lookup(in)
 	return s != nil && !s.Leaving
 }
 
-// MaySend tells whether a request may be sent to a process that was picked for it
-// before: it takes work, and its failure domain is not evacuated.
+// MaySend reports whether a request may still be sent to a process that was picked for
+// it earlier: the process is registered, not leaving, and its failure domain is not evacuated.
 func (f *Servers) MaySend(in Incarnation) bool {
-	s := f.of(in)
+	s := f.lookup(in)
 	return s != nil && !s.Leaving && !f.evacuated[s.Domain]
 }
 
-// IsEjected tells whether the process is ejected until Restored.
+// IsEjected reports whether a process is ejected.
 func (f *Servers) IsEjected(in Incarnation) bool {
-	s := f.of(in)
+	s := f.lookup(in)
 	return s != nil && s.ejected
 }
 
-// Ejected returns the servers that are ejected until Restored.
+// Ejected returns the ejected servers ordered by id, without leaving and evacuated ones.
 func (f *Servers) Ejected() []Server {
 	var list []Server
 	for _, g := range f.groups {
-		for _, s := range g.noted {
-			if !s.gone && s.ejected && !s.Leaving && !f.evacuated[s.Domain] {
+		for _, s := range g.observed {
+			if !s.removed && s.ejected && !s.Leaving && !f.evacuated[s.Domain] {
 				list = append(list, s.Server)
 			}
 		}
@@ -256,36 +257,34 @@
 	return list
 }
 
-// Query is what matters of a request for the choice.
+// Query describes a request for server selection.
 type Query struct {
 	Service string
-	// Affinity is the hash of the prompt's shared parts; 0 means none.
+	// Affinity is the hash of the shared prompt prefix; 0 means none.
 	Affinity uint64
-	// Tokens are the prompt tokens that no server has read yet.
+	// Tokens is the number of prompt tokens that no server has processed yet.
 	Tokens int64
-	// Prompt are all tokens of the prompt.
+	// Prompt is the total number of prompt tokens.
 	Prompt int64
-	// Tried are those that the request was already sent to.
+	// Tried holds the processes that the request was already sent to.
 	Tried map[Incarnation]bool
-	// Domain is the router's failure domain; it decides between servers that
-	// are alike.
+	// Domain is the router's failure domain, preferred among equivalent servers.
 	Domain string
-	// Now is the time of the choice.
+	// Now is the time of the selection.
 	Now time.Time
-	// Open tells whether a server may get the request by the rate that it takes; cold
-	// tells that it is cold. nil: all may. It is asked for the servers that would else be
-	// chosen from.
+	// Open reports whether the rate limit of a server admits the request; cold is set
+	// while the server is in slow start. nil admits all. It is called only for servers that
+	// are otherwise eligible.
 	Open func(s Server, cold bool) bool
-	// Rank is the urgency of the request at servers with a limited rate; 0 is the most
-	// urgent.
+	// Rank is the priority of the request at rate-limited servers; 0 is the highest.
 	Rank int
-	// Unrestricted leaves out servers that take requests at a limited rate.
+	// Unrestricted excludes rate-limited servers.
 	Unrestricted bool
-	// InDomain tells whether the request may run in a failure domain; nil: in all.
+	// InDomain reports whether the request may run in a failure domain; nil allows all.
 	InDomain func(domain string) bool
 }
 
-// allows tells whether the request may go to a server that is in use.
+// allows reports whether the domain restriction and the rate limit of a server admit the request.
 func (q *Query) allows(s *state) bool {
 	if q.InDomain != nil && !q.InDomain(s.Domain) {
 		return false
@@ -293,12 +292,12 @@
 	return q.Open == nil || q.Open(s.Server, q.Now.Before(s.coldUntil))
 }
 
-// Pick chooses a server; false means that none can take the request.
+// Pick returns the server for the request; false means that no server can accept it.
 func (f *Servers) Pick(rng *rand.Rand, q Query) (Server, bool) {
-	isLong := q.Affinity != 0 && f.long(q)
-	s := f.pickOpen(rng, q, isLong)
+	isLong := q.Affinity != 0 && f.isLongPrompt(q)
+	s := f.pickWithinLimits(rng, q, isLong)
 	if s == nil {
-		s = f.pickAny(rng, q, isLong)
+		s = f.pickBeyondLimits(rng, q, isLong)
 	}
 	if s == nil {
 		return Server{}, false
@@ -306,23 +305,23 @@
 	return s.Server, true
 }
 
-// pickAny is Pick where no server is free of all reasons to spare it.
-func (f *Servers) pickAny(rng *rand.Rand, q Query, isLong bool) *state {
+// pickBeyondLimits selects a server when no server is within all limits.
+func (f *Servers) pickBeyondLimits(rng *rand.Rand, q Query, isLong bool) *state {
 	candidates := f.candidates(q)
 	switch {
 	case len(candidates) == 0:
 		return nil
 	case q.Affinity == 0:
-		return f.leastBusy(rng, candidates, q.Domain)
+		return f.leastLoaded(rng, candidates, q.Domain)
 	case isLong:
-		candidates = fast(candidates)
+		candidates = fastServers(candidates)
 	}
-	return byPrefix(candidates, q.Affinity)
+	return pickByPrefix(candidates, q.Affinity)
 }
 
-// candidates are the servers worth a try: up and not failing far more than the
-// others. Servers that fail are better than none; servers that are down are
-// not, since a request sent there would only wait.
+// candidates returns the eligible servers whose failure rate is not far above the
+// mean, or all eligible servers if there is none. Ejected servers are never
+// returned, since a request sent to an unreachable server would only wait.
 func (f *Servers) candidates(q Query) []*state {
 	var up []*state
 	var sum float64
@@ -335,34 +334,34 @@
 	if len(up) == 0 {
 		return nil
 	}
-	limit := 2*sum/float64(len(up)) + failureSlack
-	sound := up[:0:0]
+	limit := 2*sum/float64(len(up)) + failureRateMargin
+	healthy := up[:0:0]
 	for _, s := range up {
 		if s.failureRate <= limit {
-			sound = append(sound, s)
+			healthy = append(healthy, s)
 		}
 	}
-	if len(sound) == 0 {
+	if len(healthy) == 0 {
 		return up
 	}
-	return sound
+	return healthy
 }
 
-// byPrefix returns the first server in the prefix's rendezvous order that is
-// not too busy, or the one with the least to read.
-func byPrefix(list []*state, affinity uint64) *state {
+// pickByPrefix returns the first server in the prefix's rendezvous order that is
+// not overloaded, or else the one with the fewest pending prompt tokens.
+func pickByPrefix(list []*state, affinity uint64) *state {
 	total := 0
 	for _, s := range list {
 		total += s.inFlight
 	}
-	bound := max(loadFloor, int(loadSlack*float64(total)/float64(len(list))))
-	var best, idlest *state
+	bound := max(minLoadLimit, int(maxLoadFactor*float64(total)/float64(len(list))))
+	var best, leastPending *state
 	var bestRank uint64
 	for _, s := range list {
-		if idlest == nil || s.pending < idlest.pending || s.pending == idlest.pending && s.inFlight < idlest.inFlight {
-			idlest = s
+		if leastPending == nil || s.pending < leastPending.pending || s.pending == leastPending.pending && s.inFlight < leastPending.inFlight {
+			leastPending = s
 		}
-		if s.inFlight > bound || s.pending > pendingBound {
+		if s.inFlight > bound || s.pending > maxPendingTokens {
 			continue
 		}
 		if rank := mix(affinity ^ s.hash); best == nil || rank > bestRank {
@@ -370,7 +369,7 @@
 		}
 	}
 	if best == nil {
-		return idlest
+		return leastPending
 	}
 	return best
 }
@@ -384,9 +383,9 @@
 	return x ^ x>>31
 }
 
-// leastBusy returns a server with the fewest own requests in flight, one of
-// the same failure domain if there is one among them.
-func (f *Servers) leastBusy(rng *rand.Rand, list []*state, domain string) *state {
+// leastLoaded returns a server with the fewest own requests in flight, preferably
+// one in the given failure domain.
+func (f *Servers) leastLoaded(rng *rand.Rand, list []*state, domain string) *state {
 	var best []*state
 	for _, s := range list {
 		switch {
@@ -408,7 +407,7 @@
 	return best[rng.IntN(len(best))]
 }
 
-// Affinity returns the hash of the shared parts of a prompt, never 0.
+// Affinity returns the hash of the shared parts of a prompt; it is never 0.
 func Affinity(parts []string) uint64 {
 	h := xxhash.New()
 	for _, p := range parts {
@@ -418,10 +417,10 @@
 	return max(h.Sum64(), 1)
 }
 
-// Count is how many servers of a service are in which state.
+// Count is the number of servers of a service by state.
 type Count struct{ Up, Ejected, Leaving, Evacuated int }
 
-// Counts returns the servers by service and state.
+// Counts returns the number of servers by service and state.
 func (f *Servers) Counts() map[string]Count {
 	counts := map[string]Count{}
 	for _, s := range f.byID {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -10,7 +10,7 @@
 
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// life is the process of a server of fleet.
+// incarnation returns the process of a server of fleet.
 func incarnation(id string) placement.Incarnation { return placement.Incarnation{ID: id} }
 
 func fleet(n int) *placement.Servers {
@@ -31,8 +31,8 @@
 	return s.ID
 }
 
-// TestPrefixStaysOnOneServer: the same prefix goes to the same server, also at
-// another router, and a server that goes moves only its own prefixes.
+// TestPrefixStaysOnOneServer checks that two routers send a prefix to the same server,
+// and that removing a server moves only the prefixes of that server.
 func TestPrefixStaysOnOneServer(t *testing.T) {
 	f, other := fleet(18), fleet(18)
 	moved := 0
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestBusyServerGivesItsPrefixAway: a prefix leaves a server that has much to
-// read, and comes back after that.
-func TestBusyServerGivesItsPrefixAway(t *testing.T) {
+// TestPrefixMovesAwayFromOverloadedServer checks that a prefix moves to another server while
+// its own has many pending prompt tokens, and moves back afterwards.
+func TestPrefixMovesAwayFromOverloadedServer(t *testing.T) {
 	f := fleet(6)
 	q := placement.Query{Affinity: 42, Tokens: 50000}
 	home := pick(t, f, q)
@@ -88,14 +88,14 @@
 	}
 }
 
-// TestUnreachableServerIsOutOfUseUntilRevived: two requests in a row that reach
-// nothing eject a server.
-func TestUnreachableServerIsOutOfUseUntilRevived(t *testing.T) {
+// TestUnreachableServerIsEjectedUntilRestored checks that two consecutive unreachable
+// outcomes eject a server until it is restored.
+func TestUnreachableServerIsEjectedUntilRestored(t *testing.T) {
 	f := fleet(2)
 	for i := range 2 {
 		f.Sent(incarnation("s00"), 0)
 		if down := f.Ended(incarnation("s00"), placement.Silent); down != (i == 1) {
-			t.Fatalf("down after %d failures: %t", i+1, down)
+			t.Fatalf("ejected after %d failures: %t", i+1, down)
 		}
 	}
 	for range 20 {
@@ -105,12 +105,12 @@
 	}
 	f.Restored(incarnation("s00"))
 	if len(f.Ejected()) != 0 {
-		t.Fatal("still down")
+		t.Fatal("the server is still ejected after Restored")
 	}
 }
 
-// TestFailingServerIsAvoided: one that fails far more than the others gets no
-// requests; where all fail alike, all stay in use.
+// TestFailingServerIsAvoided checks that a server that fails far more than the others
+// gets no requests, and that all stay in use when all fail alike.
 func TestFailingServerIsAvoided(t *testing.T) {
 	f := fleet(4)
 	for range 30 {
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestPlainServiceSpreads: without a prefix the least busy server is chosen,
-// one of the router's own failure domain among equals.
-func TestPlainServiceSpreads(t *testing.T) {
+// TestLeastLoadedServerIsPickedWithoutPrefix checks that without a prefix the least loaded server is picked,
+// preferably in the router's own failure domain.
+func TestLeastLoadedServerIsPickedWithoutPrefix(t *testing.T) {
 	f := fleet(3)
 	q := placement.Query{Domain: "z1"}
 	if got := pick(t, f, q); got != "s01" {
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestProcessUnderAnOldIDIsANewServer: a server that starts again under its id is
-// used, whatever was known of the process before, also if its clock was set back.
+// TestProcessUnderAnOldIDIsANewServer checks that a server that restarts under the same
+// id is used whatever the state of its previous process, also if its clock was set back.
 func TestProcessUnderAnOldIDIsANewServer(t *testing.T) {
 	first := placement.Server{ID: "s", Service: "llm", Started: 1000}
 	for name, harm := range map[string]func(*placement.Servers){
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestRequestsOfAnOldProcessSayNothingOfTheNew: what ends after a server started
-// again under its id is not counted against the new process.
+// TestRequestsOfAnOldProcessSayNothingOfTheNew checks that requests of a previous process
+// that end after a restart under the same id do not count against the new process.
 func TestRequestsOfAnOldProcessSayNothingOfTheNew(t *testing.T) {
 	f := placement.New()
 	first := placement.Server{ID: "a", Service: "llm", Started: 1000}
@@ -202,10 +202,10 @@
 	}
 	f.Leave(first.Incarnation())
 	if f.IsEjected(second.Incarnation()) || len(f.Ejected()) > 0 {
-		t.Fatal("the new process is down for what the old one did")
+		t.Fatal("the new process is ejected for failures of the previous one")
 	}
-	// With one request at b, the new process is the less busy one: its counts start
-	// anew and did not become negative either.
+	// With one request at b, the new process is the less loaded one: its counts start
+	// from zero. The second check shows that they did not become negative.
 	f.Sent(placement.Incarnation{ID: "b"}, 0)
 	if got := pick(t, f, placement.Query{}); got != "a" {
 		t.Fatalf("got %s", got)
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestCountsOfAServerThatComesBack: a registration lapses and returns while requests
-// run at the server. Their ends must not make it look less busy than idle.
+// TestCountsOfAServerThatComesBack guards against negative in-flight counts: a registration
+// expires and returns while requests run at the server, and then these requests end.
 func TestCountsOfAServerThatComesBack(t *testing.T) {
 	f := fleet(2)
 	for range 3 {
