--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxSurplus is how many answers to other requests are skipped.
+	// maxSurplus is the number of responses to other requests that are skipped.
 	maxSurplus = 3
-	// maxSurplusBody bounds the body of such an answer.
+	// maxSurplusBody bounds the body of such a response, in bytes.
 	maxSurplusBody = 1 << 20
 )
 
-// errForeign marks answers that name no request of this connection.
-var errForeign = errors.New("the answers on the connection belong to other requests")
+// errForeign is returned if the responses on a connection do not belong to the request.
+var errForeign = errors.New("the responses on the connection belong to other requests")
 
-// Answer is a backend server's answer. The caller reads it to its end or calls Close.
-// Its body can be had by Read alone, which tells a proved end from any other.
+// Answer is the response of a backend server. The caller reads it to its end or calls Close.
+// The body is accessible only through Read, which distinguishes a proven end from any other.
 type Answer struct {
 	StatusCode int
 	Header     http.Header
-	// ContentLength is -1 if the head gives none.
+	// ContentLength is -1 if the header does not declare it.
 	ContentLength int64
 
 	resp    *http.Response
@@ -37,13 +37,13 @@
 	stop    func() bool
 	ctx     context.Context
 	written <-chan error
-	// first tells that the connection has carried no other request.
+	// first is set if the connection has carried no other request.
 	first bool
-	over  bool
+	done  bool
 }
 
-// readHead reads until the answer of the request, past interim ones and past
-// surplus answers to earlier requests.
+// readHead reads the header of the response to the request. It skips interim (1xx)
+// responses and surplus responses to earlier requests.
 func (a *Answer) readHead(r *Request) (*http.Response, error) {
 	request := &http.Request{Method: r.Method}
 	for skipped := 0; skipped <= maxSurplus; {
@@ -69,13 +69,13 @@
 	return nil, errForeign
 }
 
-// ErrUnframed ends an answer whose connection the server closed and whose framing
-// does not tell where it ends: it may be whole, and its server may have died.
-var ErrUnframed = errors.New("the answer ended with its connection")
+// ErrUnframed is returned at the end of a response that is delimited only by the server
+// closing the connection: it may be complete, or the server may have crashed.
+var ErrUnframed = errors.New("the response ended with the connection, without framing")
 
-// Read reads the body. It returns io.EOF only where the framing proves the end; the
-// connection is then kept if it can carry another request. An answer that is over
-// without such a proof gives ErrUnframed.
+// Read reads the body. It returns io.EOF only if the framing proves the end; the
+// connection is then kept if it can be reused. A response that ends without such a
+// proof returns ErrUnframed.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.resp.Body.Read(b)
 	if err == io.EOF {
@@ -92,15 +92,15 @@
 	return n, err
 }
 
-// Close ends the answer. If its body was not read to the end, the connection
-// is closed, which cancels the run at the server.
+// Close releases the response. If the body was not read to its end, the connection
+// is closed, which cancels the request at the server.
 func (a *Answer) Close() { a.discard() }
 
 func (a *Answer) finish() {
-	if a.over {
+	if a.done {
 		return
 	}
-	a.over = true
+	a.done = true
 	if !a.stop() || !a.reusable() {
 		a.pool.drop(a.conn)
 		return
@@ -108,8 +108,8 @@
 	a.pool.put(a.conn, keepFor(a.Header, a.pool.opts.IdleTimeout))
 }
 
-// reusable tells whether the connection is in step: the request was written
-// whole, the answer had a length, and nothing follows it.
+// reusable reports whether the connection can carry another request: this request
+// was written completely, the response was framed, and no bytes follow it.
 func (a *Answer) reusable() bool {
 	select {
 	case err := <-a.written:
@@ -122,28 +122,28 @@
 	return a.Framed() && !a.resp.Close && a.conn.reader.Buffered() == 0
 }
 
-// Framed tells whether the answer's own framing proves its end.
+// Framed reports whether the framing of the response proves its end.
 func (a *Answer) Framed() bool { return framing.Proved(a.resp) }
 
-// discard ends an exchange before its end. The connection is reset, so that a
-// request whose bytes are held up on the way never reaches the server later.
+// discard aborts an exchange. The connection is reset, so that a request whose
+// bytes are delayed in the network never reaches the server later.
 func (a *Answer) discard() {
-	if a.over {
+	if a.done {
 		return
 	}
-	a.over = true
+	a.done = true
 	a.stop()
 	a.conn.reset()
 	a.pool.drop(a.conn)
 }
 
-// keepAliveMargin is how much earlier than the server a connection is given
-// up, so that none is used while the server closes it.
+// keepAliveMargin is how much earlier than the server's keep-alive timeout a
+// connection expires, so that none is used while the server closes it.
 const keepAliveMargin = 500 * time.Millisecond
 
-// keepFor returns how long the connection may rest, by the server's word or
-// else the pool's own.
-func keepFor(h http.Header, standard time.Duration) time.Duration {
+// keepFor returns how long the connection may stay idle: the timeout of the
+// server's Keep-Alive header less a margin, or else the given default.
+func keepFor(h http.Header, defaultTimeout time.Duration) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
@@ -151,9 +151,9 @@
 		}
 		seconds, err := strconv.Atoi(value)
 		if err != nil {
-			return standard // not a number: the server has named no time
+			return defaultTimeout // not a number: the server declares no timeout
 		}
 		return max(time.Duration(seconds)*time.Second-keepAliveMargin, 0)
 	}
-	return standard
+	return defaultTimeout
 }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -20,53 +20,55 @@
 	reader *bufio.Reader
 	meter  *link.Meter
 	addr   string
-	// owner is the process that it was opened for: an address may pass to another
-	// server.
+	// owner is the process that the connection was opened for: an address may be
+	// reassigned to another server.
 	owner placement.Incarnation
-	// usedAt is when it was last put back, and expires until when it is kept.
+	// usedAt is when the connection last became idle, and expires when it is to be closed.
 	usedAt, expires time.Time
-	// used tells that it has carried a request.
+	// used is set once the connection has carried a request.
 	used bool
 }
 
 func newConn(raw net.Conn, r *Request, m *link.Meter) *conn {
 	c := &conn{Conn: raw, meter: m, addr: r.Address, owner: r.Owner}
-	c.reader = bufio.NewReaderSize(counted{raw, m}, readBuffer)
+	c.reader = bufio.NewReaderSize(countingConn{raw, m}, readBuffer)
 	return c
 }
 
-// counted counts the bytes that are read from a connection.
-type counted struct {
+// countingConn counts the bytes that are read from a connection.
+type countingConn struct {
 	net.Conn
 	meter *link.Meter
 }
 
 // Read implements io.Reader.
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.Received(n)
 	return n, err
 }
 
-// errOldChunks marks an answer of HTTP/1.0 that names a transfer encoding, which that
-// version does not have, so that its framing cannot be trusted.
-var errOldChunks = errors.New("a transfer encoding in an answer of HTTP/1.0")
+// errHTTP10TransferEncoding is returned for an HTTP/1.0 response with a Transfer-Encoding
+// header. HTTP/1.0 does not define it, so the framing cannot be trusted.
+var errHTTP10TransferEncoding = errors.New("HTTP/1.0 response has a Transfer-Encoding header")
 
 const (
-	// oldVersion begins an answer of HTTP/1.0.
-	oldVersion = "HTTP/1.0 "
-	// maxOldHead bounds the head of one, in bytes. Heads are a few hundred.
-	maxOldHead = 64 << 10
+	// http10Prefix is the start of the status line of an HTTP/1.0 response.
+	http10Prefix = "HTTP/1.0 "
+	// maxHTTP10Head bounds the header of an HTTP/1.0 response, in bytes. Typical headers take a
+	// few hundred.
+	maxHTTP10Head = 64 << 10
 )
 
-// readResponse reads the next head. net/http drops the transfer encoding of an
-// answer of HTTP/1.0 unseen and would take its chunks for the body, so the heads of
-// these are looked at first. Their connections are not used again.
+// readResponse reads the next response header. net/http silently drops the
+// Transfer-Encoding of an HTTP/1.0 response and would return its chunk framing as part
+// of the body, so the headers of these responses are checked first. Their connections
+// are not reused.
 func (c *conn) readResponse(request *http.Request) (*http.Response, error) {
-	if start, err := c.reader.Peek(len(oldVersion)); err != nil || string(start) != oldVersion {
-		return http.ReadResponse(c.reader, request) // which tells what is wrong with less
+	if start, err := c.reader.Peek(len(http10Prefix)); err != nil || string(start) != http10Prefix {
+		return http.ReadResponse(c.reader, request) // reports the error of a shorter read
 	}
-	head, err := c.readOldHead()
+	head, err := c.readHTTP10Head()
 	if err != nil {
 		return nil, err
 	}
@@ -78,21 +80,21 @@
 	return resp, nil
 }
 
-// readOldHead reads the head of an answer of HTTP/1.0.
-func (c *conn) readOldHead() ([]byte, error) {
+// readHTTP10Head reads the header of an HTTP/1.0 response and rejects a Transfer-Encoding.
+func (c *conn) readHTTP10Head() ([]byte, error) {
 	var head []byte
-	for len(head) < maxOldHead {
+	for len(head) < maxHTTP10Head {
 		line, err := c.reader.ReadSlice('\n')
 		head = append(head, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			continue // a long line; its rest comes next
+			continue // the rest of a long line follows
 		case err != nil:
 			return nil, err
 		}
 		name, _, _ := bytes.Cut(line, []byte{':'})
 		if bytes.EqualFold(bytes.TrimSpace(name), []byte("transfer-encoding")) {
-			return nil, errOldChunks
+			return nil, errHTTP10TransferEncoding
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return head, nil
@@ -101,12 +103,12 @@
 	return nil, errLongHead
 }
 
-// errLongHead marks an answer whose head passes all bounds.
-var errLongHead = errors.New("the head of the answer is too long")
+// errLongHead is returned for an HTTP/1.0 response whose header exceeds maxHTTP10Head.
+var errLongHead = errors.New("response header is too long")
 
-// sound tells whether an idle connection can carry a request: it is open, and
-// no byte has arrived that belongs to no request.
-func (c *conn) sound() bool {
+// healthy reports whether an idle connection can carry a request: it is open, and
+// no unsolicited bytes have arrived on it.
+func (c *conn) healthy() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -114,20 +116,20 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, err := syscall.Read(int(fd), one[:])
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		noData = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// reset makes the coming Close reset the connection: what is not delivered yet
-// is dropped.
+// reset makes the following Close reset the connection (TCP RST), which drops
+// undelivered data.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+		_ = tcp.SetLinger(0) // fails only if the connection is already closed
 	}
 }
--- a/upstream/liveness.go
+++ b/upstream/liveness.go
@@ -11,31 +11,31 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// Liveness is what can be told of a server's process from its connections.
+// Liveness is the state of a server process as far as its connections show it.
 type Liveness int
 
-// The findings.
+// Liveness states.
 const (
-	// Unknown: nothing answers, as behind a cut, or on a machine without power.
+	// Unknown: there is no response, as in a network partition or after a power failure.
 	Unknown Liveness = iota
-	// Alive: a connection to it stays open.
+	// Alive: a connection to the process stays open.
 	Alive
-	// Gone: its machine refuses connections, or ends each new one at once.
+	// Gone: the host refuses connections, or closes each new one at once.
 	Gone
 )
 
-// String names the finding for logs.
+// String returns the name of the state for logs.
 func (l Liveness) String() string { return [...]string{"unknown", "alive", "gone"}[l] }
 
-// settleTime is how long a new connection must stay open to show that a process
-// listens: a proxy before a server that is gone takes a connection and resets it
+// minOpenTime is how long a new connection must stay open to show that a process
+// listens: a proxy in front of a stopped server accepts a connection and resets it
 // within a round trip.
-const settleTime = 50 * time.Millisecond
+const minOpenTime = 50 * time.Millisecond
 
-// Check tells whether a process still lives. A kept connection that is open shows it
-// for nothing; without one a new connection is opened, and kept for a request.
+// Check reports whether a process is alive. An open idle connection proves it at no
+// cost; without one a new connection is opened and kept for later requests.
 func (p *Pool) Check(ctx context.Context, address string, owner placement.Incarnation) Liveness {
-	if p.keepsSound(address, owner) {
+	if p.hasHealthyIdle(address, owner) {
 		return Alive
 	}
 	c, err := p.dial(ctx, &Request{Address: address, Owner: owner})
@@ -45,7 +45,7 @@
 	case err != nil:
 		return Unknown
 	}
-	_ = c.SetReadDeadline(time.Now().Add(settleTime)) // fails only on a closed connection, as the read then does
+	_ = c.SetReadDeadline(time.Now().Add(minOpenTime)) // fails only on a closed connection, where the read fails too
 	_, err = c.reader.Peek(1)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -56,20 +56,20 @@
 		p.drop(c)
 		return Gone
 	default:
-		p.drop(c) // bytes of no request, or no finding
+		p.drop(c) // unsolicited bytes, or an inconclusive error
 		return Unknown
 	}
 }
 
-// keepsSound tells whether a kept connection to a process is open. Those that are not
-// are dropped.
-func (p *Pool) keepsSound(address string, owner placement.Incarnation) bool {
+// hasHealthyIdle reports whether there is a healthy idle connection to a process. It
+// drops the other ones that it finds.
+func (p *Pool) hasHealthyIdle(address string, owner placement.Incarnation) bool {
 	for {
 		c := p.takeIdle(address)
 		if c == nil {
 			return false
 		}
-		if c.owner == owner && c.sound() {
+		if c.owner == owner && c.healthy() {
 			p.putBack(c)
 			return true
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// putBack puts a connection back that was not used.
+// putBack returns an unused connection to the idle list.
 func (p *Pool) putBack(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -12,57 +12,57 @@
 type Request struct {
 	// Address is IP:port.
 	Address string
-	// Owner is the process of a server that is expected there.
+	// Owner is the server process that is expected at the address.
 	Owner placement.Incarnation
 	// MaxConnections bounds the open connections to the address; 0 means no
 	// bound.
 	MaxConnections int
 	Method         string
-	// Target is the request target as the caller sent it.
+	// Target is the request target as received from the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Holds tells, when the connection is there and before the first byte goes out,
-	// whether the request should still go to this server: on a link that is full a
-	// connection takes seconds, and the server or the caller may have left meanwhile.
-	// nil: it should.
+	// Holds reports whether the request should still go to this server. It is called
+	// once the connection is established, before the first byte is sent: on a saturated
+	// link dialing takes seconds, and the server or the caller may have left meanwhile.
+	// nil means always.
 	Holds func() bool
-	// Belongs tells whose answer one is.
+	// Belongs reports to which request a response belongs.
 	Belongs func(*http.Response) Belonging
 }
 
-// Belonging says to which request an answer belongs.
+// Belonging is the relation of a response to the request that was sent.
 type Belonging int
 
 const (
-	// Foreign: another request's; it is skipped.
+	// Foreign: the response names another request; it is skipped.
 	Foreign Belonging = iota
-	// Mine: this request's.
+	// Mine: the response names this request.
 	Mine
-	// Unnamed: it names no request, and would be acceptable as this one's. It is
-	// taken where the connection has carried no other request, and else ends the
-	// exchange: what follows it cannot be told apart either.
+	// Unnamed: the response names no request but is otherwise acceptable. It is
+	// accepted if the connection has carried no other request; otherwise the exchange
+	// fails, because the responses after it cannot be matched either.
 	Unnamed
 )
 
-// Stage says how far a failed request had come.
+// Stage is the progress of a failed request.
 type Stage int
 
-// The stages.
+// Request stages.
 const (
-	// NotSent: no byte was handed to a connection.
+	// NotSent: no byte was written to a connection.
 	NotSent Stage = iota
 	// Sent: the server may have received the request.
 	Sent
 )
 
-// Failure is a request without an answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
 	Stage Stage
-	// Full tells that the server's connections are all in use.
+	// Full is set if a connection limit was reached and no connection was idle.
 	Full bool
-	// Outdated tells that the request should not go to this server any more.
+	// Outdated is set if Holds reported that the request should no longer go to this server.
 	Outdated bool
 	Err      error
 }
@@ -73,12 +73,12 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// inlineBody is the size up to which a body is written before the answer is
-// awaited: it fits the socket's buffer.
+// inlineBody is the body size in bytes up to which a request is written
+// synchronously: it fits into the socket's send buffer.
 const inlineBody = 2 << 10
 
-// write sends the request; the channel gives the outcome. A long body is sent
-// in the background, since the server may answer before it has read it all.
+// write sends the request and delivers the result on the channel. A long body is sent
+// in the background, since the server may respond before it has read all of it.
 func write(c *conn, r *Request) <-chan error {
 	done := make(chan error, 1)
 	head := appendHead(make([]byte, 0, readBuffer), r)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,10 +1,10 @@
-// Package upstream carries requests to backend servers over kept HTTP/1.1
+// Package upstream sends requests to backend servers over persistent HTTP/1.1
 // connections.
 //
-// It is used in place of net/http's transport because the caller must know
-// what a server may have received: nothing is repeated here, an answer counts
-// only if it names its request, and a connection that carried bytes of no
-// request is not used again. Messages are parsed by net/http.
+// It replaces net/http's transport because the caller must know what a server
+// may have received: the package never retries, it matches each response to its
+// request by the request id, and it does not reuse a connection that carried
+// unsolicited bytes. Messages are parsed by net/http.
 package upstream
 
 import (
@@ -24,32 +24,33 @@
 )
 
 const (
-	// readBuffer is enough for the head of an answer and an event of a stream.
+	// readBuffer fits a response header and one event of a stream, in bytes.
 	readBuffer = 4 << 10
-	// unackedLimit ends a connection whose peer acknowledges nothing, as one
-	// behind a cut does.
+	// unackedLimit is the TCP user timeout: a connection is closed when its peer
+	// acknowledges no data for so long, as in a network partition.
 	unackedLimit = 1500 * time.Millisecond
 )
 
 // Options are the settings of a pool.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout is the timeout for opening a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept when the server
-	// names no time itself.
+	// IdleTimeout is how long an idle connection is kept if the server declares
+	// no keep-alive timeout.
 	IdleTimeout time.Duration
-	// MaxOpen bounds the connections to all servers together: an unused one makes way
-	// for a new one, and beyond that none is opened. 0: no bound.
+	// MaxOpen bounds the connections to all servers together. At the limit an idle
+	// connection is closed to open a new one; if none is idle, dialing fails. 0 means no
+	// limit.
 	MaxOpen int
 	// Meter counts the bytes of all connections; it may be nil.
 	Meter *link.Meter
-	// Congested tells whether the router's own link is full, so that a
-	// connection may take up to CongestedDialTimeout; it may be nil.
+	// Congested reports whether the router's own link is saturated. The dial
+	// timeout is then CongestedDialTimeout. Congested may be nil.
 	Congested            func() bool
 	CongestedDialTimeout time.Duration
 }
 
-// dialTimeout bounds the opening of a connection now.
+// dialTimeout returns the current timeout for opening a connection.
 func (o *Options) dialTimeout() time.Duration {
 	if o.Congested != nil && o.Congested() {
 		return o.CongestedDialTimeout
@@ -61,10 +62,10 @@
 type Pool struct {
 	opts Options
 
-	mu   sync.Mutex
-	idle map[string][]*conn // by address, the last used at the end
-	open map[string]int     // by address
-	all  int                // open ones
+	mu    sync.Mutex
+	idle  map[string][]*conn // by address, most recently used last
+	open  map[string]int     // by address
+	total int                // all open connections
 
 	dials, reuses atomic.Int64
 }
@@ -74,22 +75,22 @@
 	return &Pool{opts: opts, idle: map[string][]*conn{}, open: map[string]int{}}
 }
 
-// Stats are counts since the start.
+// Stats counts dialed and reused connections since the start.
 type Stats struct{ Dials, Reuses int64 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats { return Stats{Dials: p.dials.Load(), Reuses: p.reuses.Load()} }
 
-// Open returns how many connections are open or being opened.
+// Open returns the number of connections that are open or being opened.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.all
+	return p.total
 }
 
-// Send sends a request and waits for the head of its answer. The context
-// bounds the whole exchange, the body of the answer included: when it ends,
-// the connection is closed, which cancels the run at the server.
+// Send sends a request and waits for the response header. The context
+// bounds the whole exchange including the response body: when it ends,
+// the connection is closed, which cancels the request at the server.
 func (p *Pool) Send(ctx context.Context, r *Request) (*Answer, *Failure) {
 	c, err := p.get(ctx, r)
 	if err != nil {
@@ -116,11 +117,11 @@
 	return a, nil
 }
 
-// errOutdated means that the request should not go to the server any more.
-var errOutdated = errors.New("the server or the caller left while the connection was made")
+// errOutdated is returned if the request should no longer go to the server.
+var errOutdated = errors.New("the server or the caller left while connecting")
 
-// errFull means that no connection may be opened to the server.
-var errFull = errors.New("all connections to the server are in use")
+// errFull is returned if a connection limit is reached.
+var errFull = errors.New("connection limit reached")
 
 func (p *Pool) get(ctx context.Context, r *Request) (*conn, error) {
 	for {
@@ -128,7 +129,7 @@
 		if c == nil {
 			break
 		}
-		if c.owner == r.Owner && clock.Now().Before(c.expires) && c.sound() {
+		if c.owner == r.Owner && clock.Now().Before(c.expires) && c.healthy() {
 			p.reuses.Add(1)
 			return c, nil
 		}
@@ -154,7 +155,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, r *Request) (*conn, error) {
-	unused, ok := p.admit(r)
+	unused, ok := p.reserve(r)
 	if unused != nil {
 		p.drop(unused)
 	}
@@ -162,36 +163,37 @@
 		return nil, errFull
 	}
 	p.dials.Add(1)
-	dialer := net.Dialer{Timeout: p.opts.dialTimeout(), KeepAlive: -1, ControlContext: limitUnacked}
+	dialer := net.Dialer{Timeout: p.opts.dialTimeout(), KeepAlive: -1, ControlContext: setUserTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", r.Address)
 	if err != nil {
-		p.closed(r.Address)
+		p.release(r.Address)
 		return nil, err
 	}
 	return newConn(raw, r, p.opts.Meter), nil
 }
 
-// admit counts a connection that is about to be opened; false means that there may
-// be no more. An unused connection that has to make way is returned.
-func (p *Pool) admit(r *Request) (unused *conn, ok bool) {
+// reserve counts a connection that is about to be opened; false means that a limit is
+// reached. It may return an idle connection that the caller must close to stay within
+// the limit.
+func (p *Pool) reserve(r *Request) (unused *conn, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.MaxConnections > 0 && p.open[r.Address] >= r.MaxConnections {
 		return nil, false
 	}
-	if p.opts.MaxOpen > 0 && p.all >= p.opts.MaxOpen {
-		if unused = p.longestUnused(); unused == nil {
+	if p.opts.MaxOpen > 0 && p.total >= p.opts.MaxOpen {
+		if unused = p.takeLeastRecentlyUsed(); unused == nil {
 			return nil, false
 		}
 	}
 	p.open[r.Address]++
-	p.all++
+	p.total++
 	return unused, true
 }
 
-// longestUnused takes the idle connection out that was not used for the longest time;
-// nil if none is idle. It is called under the lock.
-func (p *Pool) longestUnused() *conn {
+// takeLeastRecentlyUsed removes and returns the idle connection that was unused for the
+// longest time, or nil if none is idle. The caller must hold p.mu.
+func (p *Pool) takeLeastRecentlyUsed() *conn {
 	var oldest *conn
 	for _, list := range p.idle {
 		if c := list[0]; oldest == nil || c.usedAt.Before(oldest.usedAt) {
@@ -209,10 +211,10 @@
 	return oldest
 }
 
-func (p *Pool) closed(addr string) {
+func (p *Pool) release(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.all--
+	p.total--
 	p.open[addr]--
 	if p.open[addr] <= 0 {
 		delete(p.open, addr)
@@ -221,7 +223,7 @@
 
 func (p *Pool) drop(c *conn) {
 	_ = c.Close()
-	p.closed(c.addr)
+	p.release(c.addr)
 }
 
 func (p *Pool) put(c *conn, keep time.Duration) {
@@ -230,8 +232,8 @@
 	p.putBack(c)
 }
 
-// Probe opens a connection to a server and keeps it for a request; an error
-// means that the server cannot be reached.
+// Probe opens a connection to a server and keeps it for later requests; an error
+// means that the server is unreachable.
 func (p *Pool) Probe(ctx context.Context, address string, owner placement.Incarnation) error {
 	c, err := p.dial(ctx, &Request{Address: address, Owner: owner})
 	if err != nil {
@@ -241,8 +243,8 @@
 	return nil
 }
 
-// Sweep closes idle connections that are past their time or whose server is
-// not kept.
+// Sweep closes idle connections that have expired or for whose process keep
+// returns false.
 func (p *Pool) Sweep(now time.Time, keep func(owner placement.Incarnation) bool) {
 	var stale []*conn
 	p.mu.Lock()
@@ -266,8 +268,8 @@
 	}
 }
 
-// limitUnacked sets how long sent bytes may stay unacknowledged.
-func limitUnacked(_ context.Context, _, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets the TCP user timeout of a new socket to unackedLimit.
+func setUserTimeout(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	var err error
 	control := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit.Milliseconds()))
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -18,7 +18,7 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// listen returns a listener whose connections are handed to serve.
+// listen starts a listener that passes its connections to serve, and returns its address.
 func listen(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	return tcptest.Listen(t, func(c net.Conn, _ int) { serve(c) })
@@ -40,14 +40,14 @@
 	}
 }
 
-// TestCancelledRequestIsReset: a request that is given up must not reach the
-// server later, as it would if its connection were closed in order while its
-// bytes are held up on the way.
+// TestCancelledRequestIsReset guards against a cancelled request that reaches the
+// server later, as happens if the connection is closed gracefully while its bytes
+// are delayed in the network.
 func TestCancelledRequestIsReset(t *testing.T) {
 	read := make(chan error, 1)
-	given := make(chan struct{})
+	cancelled := make(chan struct{})
 	addr := listen(t, func(c net.Conn) {
-		<-given
+		<-cancelled
 		time.Sleep(50 * time.Millisecond)
 		_, err := io.ReadAll(c)
 		read <- err
@@ -58,13 +58,13 @@
 	if failure == nil || failure.Stage != upstream.Sent {
 		t.Fatalf("want a failure after sending, got %+v", failure)
 	}
-	close(given)
+	close(cancelled)
 	if err := <-read; !errors.Is(err, syscall.ECONNRESET) {
 		t.Fatalf("the server read to the end of the connection: %v", err)
 	}
 }
 
-// answers serves each request of a connection with the next text.
+// answers responds to each request of a connection with the next text.
 func answers(texts ...string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer func() { _ = c.Close() }()
@@ -79,7 +79,7 @@
 	}
 }
 
-func whole(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
@@ -97,10 +97,10 @@
 	return string(text)
 }
 
-// TestSurplusAnswerIsSkipped: a late second answer in the place of the due one
-// belongs to nobody.
+// TestSurplusAnswerIsSkipped checks that a duplicate response to an earlier request is
+// not taken for the response to the current one.
 func TestSurplusAnswerIsSkipped(t *testing.T) {
-	addr := listen(t, answers(whole("a", "one"), whole("a", "one")+whole("b", "two")))
+	addr := listen(t, answers(response("a", "one"), response("a", "one")+response("b", "two")))
 	p := newPool()
 	if got := body(t, p, get(addr, "a")); got != "one" {
 		t.Fatalf("got %q", got)
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestStrayBytesRetireConnection: bytes after an answer, while the connection
-// rests, make it unusable.
-func TestStrayBytesRetireConnection(t *testing.T) {
+// TestConnectionWithStrayBytesIsNotReused checks that a connection on which bytes arrive while
+// it is idle is not reused.
+func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	addr := listen(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -124,7 +124,7 @@
 				return
 			}
 			id := q.Header.Get("Request-Id")
-			_, _ = io.WriteString(c, whole(id, "x"))
+			_, _ = io.WriteString(c, response(id, "x"))
 			time.Sleep(20 * time.Millisecond)
 			_, _ = io.WriteString(c, "stray")
 		}
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestResetBodyIsNotWhole: an answer without a length that ends by a reset is
-// not complete.
-func TestResetBodyIsNotWhole(t *testing.T) {
+// TestResetBodyIsIncomplete checks that a response without a length that ends by a
+// connection reset is reported as incomplete.
+func TestResetBodyIsIncomplete(t *testing.T) {
 	addr := listen(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		_, _ = http.ReadRequest(r)
@@ -154,11 +154,11 @@
 		t.Fatal(failure)
 	}
 	if _, err := io.ReadAll(a); err == nil {
-		t.Fatal("a reset answer was read as whole")
+		t.Fatal("a reset response was read as complete")
 	}
 }
 
-// echo answers every request with its own id.
+// echo responds to every request with the request's own id.
 func echo(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
@@ -166,12 +166,13 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, whole(q.Header.Get("Request-Id"), "x"))
+		_, _ = io.WriteString(c, response(q.Header.Get("Request-Id"), "x"))
 	}
 }
 
-// TestConnectionOfAnotherOwnerIsNotUsed: an address may pass to another server.
-func TestConnectionOfAnotherOwnerIsNotUsed(t *testing.T) {
+// TestConnectionOfAnotherOwnerIsNotReused checks that a connection is not reused for another
+// process at the same address: an address may be reassigned to another server.
+func TestConnectionOfAnotherOwnerIsNotReused(t *testing.T) {
 	addr := listen(t, echo)
 	p := newPool()
 	body(t, p, get(addr, "a"))
@@ -183,9 +184,9 @@
 	}
 }
 
-// TestFullServer: the bound on connections is told apart from a server that
-// cannot be reached.
-func TestFullServer(t *testing.T) {
+// TestServerAtItsConnectionLimit checks that reaching the connection limit is distinguished from an
+// unreachable server.
+func TestServerAtItsConnectionLimit(t *testing.T) {
 	addr := listen(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 	p := newPool()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -201,16 +202,16 @@
 	}
 }
 
-// TestHalfSentBodyRetiresConnection: a server may answer before it has read a
-// long body; the rest must not be taken for another request.
-func TestHalfSentBodyRetiresConnection(t *testing.T) {
+// TestConnectionWithHalfSentBodyIsNotReused checks that a connection is not reused if the server
+// responds before it has read a long body: the rest would be parsed as another request.
+func TestConnectionWithHalfSentBodyIsNotReused(t *testing.T) {
 	addr := listen(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, whole(q.Header.Get("Request-Id"), "x"))
+		_, _ = io.WriteString(c, response(q.Header.Get("Request-Id"), "x"))
 		time.Sleep(time.Second)
 		_ = c.Close()
 	})
@@ -225,8 +226,8 @@
 	}
 }
 
-// Lines of a head may end in a bare line feed. The end of such a head must be found
-// without waiting for bytes that do not come.
+// Header lines may end in a bare line feed. The end of such a header must be found
+// without waiting for further bytes.
 func TestHeadOfHTTP10WithBareLineFeedsIsRead(t *testing.T) {
 	addr := listen(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
@@ -234,7 +235,7 @@
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.0 200 OK\nRequest-Id: a\nContent-Length: 2\n\nok")
-		_, _ = c.Read(make([]byte, 1)) // until the other side closes
+		_, _ = c.Read(make([]byte, 1)) // until the client closes the connection
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -248,9 +249,9 @@
 	}
 }
 
-// A transfer encoding in an answer of HTTP/1.0 is refused wherever in the head it
-// stands: the chunk sizes would be taken for a part of the body.
-func TestOldChunksAreRefusedBehindALongHead(t *testing.T) {
+// A Transfer-Encoding in an HTTP/1.0 response is rejected wherever it is in the header:
+// the chunk sizes would be returned as part of the body.
+func TestHTTP10TransferEncodingIsRejectedAfterALongHeader(t *testing.T) {
 	addr := listen(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
@@ -268,13 +269,14 @@
 	t.Errorf("%q, %v", body, err)
 }
 
-// TestServerThatLeftMeanwhileGetsNothing: the pattern is a router whose link is full,
-// so that a connection takes over a second, longer than what is left until a server
-// that leaves may get no work. The request must go to another server, unharmed.
+// TestServerThatLeftMeanwhileGetsNothing guards against sending a request to a server that
+// left during the dial. On a saturated link a dial takes over a second, longer than the
+// remaining time in which a leaving server may get requests. The request must be reported
+// as not sent, so that it can go to another server.
 func TestServerThatLeftMeanwhileGetsNothing(t *testing.T) {
 	received := make(chan int, 1)
 	addr := listen(t, func(c net.Conn) {
-		text, _ := io.ReadAll(c) // how it ends says nothing: the count does
+		text, _ := io.ReadAll(c) // the error is irrelevant; only the count matters
 		received <- len(text)
 	})
 	p := newPool()
@@ -289,8 +291,8 @@
 	}
 }
 
-// TestUnusedConnectionMakesWay: many servers, each with a connection kept for it, and
-// a bound on all of them together.
+// TestUnusedConnectionMakesWay checks that at the limit for all servers together, the least
+// recently used idle connections are closed to open new ones.
 func TestUnusedConnectionMakesWay(t *testing.T) {
 	const servers, bound = 6, 3
 	p := upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxOpen: bound})
@@ -298,7 +300,7 @@
 	var addrs []string
 	for n := range servers {
 		addrs = append(addrs, listen(t, func(c net.Conn) {
-			answers(whole("a", "x"))(c)
+			answers(response("a", "x"))(c)
 			closed <- n
 		}))
 	}
@@ -311,13 +313,13 @@
 	}
 	for n := range servers {
 		if longUnused := n < servers-bound; gone[n] != longUnused {
-			t.Errorf("the connection to server %d made way: %t", n, gone[n])
+			t.Errorf("the connection to server %d was closed: %t", n, gone[n])
 		}
 	}
 }
 
-// TestNoConnectionBeyondTheBound: when all are in use, another request is told so, and
-// counts as sent to nobody.
+// TestNoConnectionBeyondTheBound checks that a request fails as not sent when all allowed
+// connections are in use.
 func TestNoConnectionBeyondTheBound(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -336,7 +338,7 @@
 	}
 }
 
-// TestCheck: what connections tell of a process, by how they end.
+// TestCheck covers servers that keep, close and refuse connections.
 func TestCheck(t *testing.T) {
 	owner := placement.Incarnation{ID: "s"}
 	check := func(addr string) upstream.Liveness { return newPool().Check(t.Context(), addr, owner) }
@@ -344,7 +346,7 @@
 		t.Errorf("a server that listens is %s", got)
 	}
 	if got := check(listen(t, func(c net.Conn) { _ = c.Close() })); got != upstream.Gone {
-		t.Errorf("one whose connections end at once is %s", got)
+		t.Errorf("a server that closes connections at once is %s", got)
 	}
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -352,15 +354,15 @@
 	}
 	_ = closed.Close()
 	if got := check(closed.Addr().String()); got != upstream.Gone {
-		t.Errorf("one that refuses connections is %s", got)
+		t.Errorf("a server that refuses connections is %s", got)
 	}
 }
 
-// TestCheckByKeptConnection: an open connection shows a process that lives without
-// another one, and goes on to carry requests.
-func TestCheckByKeptConnection(t *testing.T) {
+// TestCheckUsesIdleConnection checks that an open idle connection proves liveness without a
+// new dial and stays usable for requests.
+func TestCheckUsesIdleConnection(t *testing.T) {
 	p := newPool()
-	addr := listen(t, answers(whole("a", "x"), whole("b", "x")))
+	addr := listen(t, answers(response("a", "x"), response("b", "x")))
 	owner := placement.Incarnation{ID: "s"}
 	exchange := func(id string) {
 		answer, failure := p.Send(t.Context(), get(addr, id))
@@ -381,12 +383,13 @@
 	}
 }
 
-// TestKeptConnectionEndsDuringSuspension: the server's side of it has been closed, or
-// dropped unseen, long before the steady clock says so.
-func TestKeptConnectionEndsDuringSuspension(t *testing.T) {
+// TestIdleConnectionExpiresDuringSuspension checks that idle connections expire while the machine
+// is suspended: the server closed its side, or the connection was silently dropped, long
+// before the monotonic clock, which stops during suspension, reaches the idle timeout.
+func TestIdleConnectionExpiresDuringSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	p := newPool()
-	addr := listen(t, answers(whole("a", "x"), whole("a", "x")))
+	addr := listen(t, answers(response("a", "x"), response("a", "x")))
 	for range 2 {
 		if got := body(t, p, get(addr, "a")); got != "x" {
 			t.Fatalf("got %q", got)
