--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Budgets holds a budget for each service. It is safe for concurrent use.
+// Budgets holds a retry budget for each service. It is safe for concurrent use.
 type Budgets struct {
 	ratio float64
 	burst func() float64
@@ -11,38 +11,38 @@
 	byService map[string]*Budget
 }
 
-// NewBudgets returns budgets that earn ratio retries a request and save up to
-// burst of them; burst is asked when a service is first seen.
+// NewBudgets returns budgets that each gain ratio retries per request, up to
+// burst retries. burst is called once per service, at its first use.
 func NewBudgets(ratio float64, burst func() float64) *Budgets {
 	return &Budgets{ratio: ratio, burst: burst, byService: map[string]*Budget{}}
 }
 
-func (b *Budgets) of(service string) *Budget {
-	one, ok := b.byService[service]
+func (b *Budgets) budgetOf(service string) *Budget {
+	budget, ok := b.byService[service]
 	if !ok {
-		one = NewBudget(b.ratio, b.burst())
-		b.byService[service] = one
+		budget = NewBudget(b.ratio, b.burst())
+		b.byService[service] = budget
 	}
-	return one
+	return budget
 }
 
-// Request earns the share of one request for the service.
+// Request credits the service's budget for one request.
 func (b *Budgets) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Request()
+	b.budgetOf(service).Request()
 }
 
-// Left tells whether a retry at the service may be made.
+// Left reports whether the service's budget allows a retry.
 func (b *Budgets) Left(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Left()
+	return b.budgetOf(service).Left()
 }
 
-// Spend takes one retry at the service, or tells that its budget is spent.
+// Spend takes one retry from the service's budget; false means that the budget is exhausted.
 func (b *Budgets) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Spend()
+	return b.budgetOf(service).Spend()
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Failure is what is known of a failed attempt.
+// Failure describes a failed attempt.
 type Failure struct {
-	// Dispatched tells that at least one byte was handed to the backend
-	// server's connection, so that the attempt may have run.
+	// Dispatched is set if at least one byte was written to the connection
+	// to the backend server, so that the request may have been executed.
 	Dispatched bool
-	// Refused tells that the backend server said itself that it did not run
-	// the request.
+	// Refused is set if the backend server itself reported that it did not
+	// execute the request.
 	Refused bool
-	// Answered tells that a part of the answer has reached the caller.
+	// Answered is set if a part of the response was forwarded to the caller.
 	Answered bool
 }
 
-// NotRun tells whether the attempt certainly did not run.
+// NotRun reports whether the request was certainly not executed.
 func (f Failure) NotRun() bool {
 	return !f.Dispatched || f.Refused
 }
 
-// Allowed tells whether another attempt is safe: the failed one certainly did
-// not run, or the request is repeatable and the caller has seen nothing.
+// Allowed reports whether a retry is safe: the request was certainly not
+// executed, or it is repeatable and the caller has received no part of a response.
 func Allowed(f Failure, notRepeatable bool) bool {
 	if f.NotRun() {
 		return true
@@ -33,33 +33,33 @@
 	return !notRepeatable && !f.Answered
 }
 
-// DefaultBurst is how many retries a router may make with an empty history
-// where the operator sets nothing else.
+// DefaultBurst is the default number of retries that a router may make before
+// any request has added to its budget.
 const DefaultBurst = 10
 
 // Budget bounds retries to a share of the requests, so that a failing pool
-// is not hit by a storm. It is not safe for concurrent use.
+// is not overloaded by a retry storm. It is not safe for concurrent use.
 type Budget struct {
 	ratio  float64
 	burst  float64
 	tokens float64
 }
 
-// NewBudget returns a budget that earns ratio retries a request and saves up
-// to burst of them.
+// NewBudget returns a full budget that gains ratio retries per request, up
+// to burst retries.
 func NewBudget(ratio, burst float64) *Budget {
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Request earns the share of one request.
+// Request credits the budget for one request.
 func (b *Budget) Request() {
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Left tells whether a retry may be made.
+// Left reports whether the budget allows a retry.
 func (b *Budget) Left() bool { return b.tokens >= 1 }
 
-// Spend takes one retry, or tells that the budget is spent.
+// Spend takes one retry; false means that the budget is exhausted.
 func (b *Budget) Spend() bool {
 	if !b.Left() {
 		return false
@@ -73,8 +73,8 @@
 	maxDelay  = 200 * time.Millisecond
 )
 
-// Delay returns the jittered pause before the given attempt (2 is the first
-// retry).
+// Delay returns the backoff before the given attempt (2 is the first retry):
+// exponential up to maxDelay, with full jitter.
 func Delay(rng *rand.Rand, attempt int) time.Duration {
 	ceiling := baseDelay << min(attempt, 10)
 	ceiling = min(ceiling, maxDelay)
