--- a/route/route.go
+++ b/route/route.go
@@ -1,9 +1,10 @@
-// Package route picks a backend server for an attempt.
+// Package route selects a backend server for an attempt.
 //
-// Sites are drawn by the table's weights; within a site, the power of two
-// choices over the router's own requests in flight (fresh) and the reported
-// load (late), with a preference for the server that holds the prompt's
-// prefix in its cache, bounded by load. The package is pure: callers pass the
+// A site is selected at random by the weights of the routing table. Within the
+// site, the server that caches the prompt's prefix is preferred unless it is
+// overloaded; otherwise the power of two choices applies. The load of a server
+// is the router's own requests in flight, which are current, or the load that
+// the server reports, which is delayed. The package is pure: callers pass the
 // time and the random source.
 package route
 
@@ -18,45 +19,45 @@
 )
 
 const (
-	// ejectAfter failures in a row eject a server.
+	// ejectAfter is the number of consecutive failures that eject a server.
 	ejectAfter = 3
-	// ejectFor is the first time out of use; it doubles up to maxEject.
+	// ejectFor is the duration of the first ejection; it doubles up to maxEject.
 	ejectFor = 2 * time.Second
 	maxEject = 30 * time.Second
-	// loadTrust is how old a load report may be to count.
-	loadTrust = 5 * time.Second
-	// affinitySlack bounds how much busier than the site's mean the server
-	// of the cached prefix may be.
-	affinitySlack = 1.25
+	// maxLoadAge is the age up to which a load report is used.
+	maxLoadAge = 5 * time.Second
+	// maxAffinityLoad is the load, as a multiple of the mean of the site, up to
+	// which the server of a cached prefix is preferred.
+	maxAffinityLoad = 1.25
 )
 
-// server is what the router knows of one backend server.
+// server is the local state of a router for one backend server.
 type server struct {
 	table.Server
-	pool     table.Pool
-	inFlight int
-	load     float64
-	loadAt   time.Time
-	failures int
-	ejection time.Duration
-	ejected  time.Time
-	leaving  bool
+	pool         table.Pool
+	inFlight     int
+	reportedLoad float64
+	reportedAt   time.Time
+	failures     int
+	ejection     time.Duration
+	ejectedUntil time.Time
+	leaving      bool
 }
 
-// Routes is the router's knowledge of all backend servers. It is not safe for
-// concurrent use.
+// Routes holds the state of one router for all backend servers. It is not safe
+// for concurrent use.
 type Routes struct {
 	servers map[string]*server
-	byPool  map[string][]*server // by target, in the order of their ids
+	byPool  map[string][]*server // by target, ordered by id
 }
 
-// New returns empty routes.
+// New returns an empty Routes.
 func New() *Routes {
 	return &Routes{servers: map[string]*server{}, byPool: map[string][]*server{}}
 }
 
-// SetPools takes the configured pools and keeps what is known of servers that
-// stay.
+// SetPools replaces the configured pools. Servers whose id and address are
+// unchanged keep their state.
 func (r *Routes) SetPools(pools map[string]table.Pool) {
 	next := map[string]*server{}
 	r.byPool = map[string][]*server{}
@@ -77,29 +78,29 @@
 	r.servers = next
 }
 
-// SetLeaving marks a server that is leaving, from whichever source is first.
-// It stays so until Returned.
+// SetLeaving marks a server as leaving, by the earliest source that reports it.
+// The mark stays until Returned.
 func (r *Routes) SetLeaving(id string) {
 	if s, ok := r.servers[id]; ok {
 		s.leaving = true
 	}
 }
 
-// Returned takes a server back into use, after the platform's list had it
-// leaving and then live again.
+// Returned clears the leaving mark of a server that the platform's list showed
+// as leaving and then as live again.
 func (r *Routes) Returned(id string) {
 	if s, ok := r.servers[id]; ok {
 		s.leaving = false
 	}
 }
 
-// Leaving tells whether the server is known to be leaving.
+// Leaving reports whether the server is marked as leaving.
 func (r *Routes) Leaving(id string) bool {
 	s, ok := r.servers[id]
 	return ok && s.leaving
 }
 
-// ServerIDs returns all servers' ids in order.
+// ServerIDs returns the sorted ids of all servers.
 func (r *Routes) ServerIDs() []string {
 	ids := make([]string, 0, len(r.servers))
 	for id := range r.servers {
@@ -118,25 +119,25 @@
 	return s.Server, true
 }
 
-// Request is what matters of a request for its route.
+// Request describes a request for routing.
 type Request struct {
 	// Target is the model or service.
 	Target string
-	// Rows are the table rows in force, by site.
+	// Rows are the current table rows by site.
 	Rows map[string]table.Row
-	// Prefix is a hash of the start of the prompt; 0 means none.
+	// Prefix is a hash of the prompt's prefix; 0 means none.
 	Prefix uint64
-	// Tried are servers that already failed the request.
+	// Tried holds the servers at which the request already failed.
 	Tried map[string]bool
 }
 
-// Choice is a picked server.
+// Choice is a selected server and its site.
 type Choice struct {
 	Server table.Server
 	Site   string
 }
 
-// Pick chooses a server; false means that none can take the request now.
+// Pick selects a server; false means that no server can accept the request now.
 func (r *Routes) Pick(now time.Time, rng *rand.Rand, req Request) (Choice, bool) {
 	bySite := map[string][]*server{}
 	for _, s := range r.byPool[req.Target] {
@@ -152,8 +153,8 @@
 	return Choice{Server: s.Server, Site: site}, true
 }
 
-// pickSite draws a site by weight among those with usable servers. A site
-// without a row has weight 1 if no site has a row, else 0.
+// pickSite selects a site at random by weight among those with usable servers.
+// A site without a row has weight 1 if no site has a row, else 0.
 func pickSite(rng *rand.Rand, rows map[string]table.Row, bySite map[string][]*server) (string, bool) {
 	sites := make([]string, 0, len(bySite))
 	total := 0
@@ -167,10 +168,10 @@
 		return "", false
 	}
 	sort.Strings(sites)
-	at := rng.IntN(total)
+	draw := rng.IntN(total)
 	for _, site := range sites {
-		at -= weight(rows, site)
-		if at < 0 {
+		draw -= weight(rows, site)
+		if draw < 0 {
 			return site, true
 		}
 	}
@@ -186,26 +187,26 @@
 
 func pickServer(now time.Time, rng *rand.Rand, list []*server, prefix uint64) *server {
 	if prefix != 0 {
-		if s := cacheHolder(now, list, prefix); s != nil {
+		if s := pickByPrefix(now, list, prefix); s != nil {
 			return s
 		}
 	}
 	a := list[rng.IntN(len(list))]
 	b := list[rng.IntN(len(list))]
-	if b.busy(now) < a.busy(now) {
+	if b.estimatedLoad(now) < a.estimatedLoad(now) {
 		return b
 	}
 	return a
 }
 
-// cacheHolder returns the server that rendezvous hashing gives the prefix, if
-// it is not much busier than the mean.
-func cacheHolder(now time.Time, list []*server, prefix uint64) *server {
+// pickByPrefix returns the server that rendezvous hashing assigns to the prefix,
+// or nil if its load is above maxAffinityLoad times the mean.
+func pickByPrefix(now time.Time, list []*server, prefix uint64) *server {
 	var best *server
 	var bestScore uint64
 	sum := 0.0
 	for _, s := range list {
-		sum += s.busy(now)
+		sum += s.estimatedLoad(now)
 		score := xxhash.Sum64String(s.ID) ^ prefix
 		score *= 0x9e3779b97f4a7c15
 		score ^= score >> 32
@@ -214,34 +215,35 @@
 		}
 	}
 	mean := (sum + 1) / float64(len(list))
-	if best.busy(now) > affinitySlack*mean {
+	if best.estimatedLoad(now) > maxAffinityLoad*mean {
 		return nil
 	}
 	return best
 }
 
-// busy is the estimate of a server's load in requests.
-func (s *server) busy(now time.Time) float64 {
+// estimatedLoad returns the estimated load of a server in requests.
+func (s *server) estimatedLoad(now time.Time) float64 {
 	load := float64(s.inFlight)
-	if now.Sub(s.loadAt) <= loadTrust {
-		load = max(load, s.load)
+	if now.Sub(s.reportedAt) <= maxLoadAge {
+		load = max(load, s.reportedLoad)
 	}
 	return load
 }
 
 func (s *server) usable(now time.Time) bool {
-	return !s.leaving && !now.Before(s.ejected)
+	return !s.leaving && !now.Before(s.ejectedUntil)
 }
 
-// Started counts a dispatched attempt.
+// Started counts an attempt that is dispatched to a server.
 func (r *Routes) Started(id string) {
 	if s, ok := r.servers[id]; ok {
 		s.inFlight++
 	}
 }
 
-// Finished counts the end of an attempt. A run of failures ejects the server
-// for a while; after that, one success restores it.
+// Finished counts the end of an attempt. Consecutive failures eject the server
+// temporarily; after an ejection, one success resets its failure count and the
+// duration of its next ejection.
 func (r *Routes) Finished(now time.Time, id string, failed bool) {
 	s, ok := r.servers[id]
 	if !ok {
@@ -260,13 +262,13 @@
 
 func (s *server) eject(now time.Time) {
 	s.ejection = min(max(2*s.ejection, ejectFor), maxEject)
-	s.ejected = now.Add(s.ejection)
+	s.ejectedUntil = now.Add(s.ejection)
 }
 
-// Load takes a server's own report of its requests in flight.
+// Load records a server's own report of its requests in flight.
 func (r *Routes) Load(now time.Time, id string, load float64) {
 	if s, ok := r.servers[id]; ok {
-		s.load, s.loadAt = load, now
+		s.reportedLoad, s.reportedAt = load, now
 	}
 }
 
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -59,11 +59,11 @@
 	}
 	r.Returned("old1")
 	if got := count(r, now, req, 300); got["old1"] == 0 {
-		t.Fatal("a returned server got none")
+		t.Fatal("a returned server got no requests")
 	}
 }
 
-func TestFailuresEjectForAWhile(t *testing.T) {
+func TestFailuresEjectTemporarily(t *testing.T) {
 	r, now := routes(), time.Unix(1, 0)
 	req := route.Request{Target: "m", Rows: rows(1, 0)}
 	for range 3 {
@@ -74,27 +74,27 @@
 		t.Fatalf("an ejected server got %d requests", got["old0"])
 	}
 	if got := count(r, now.Add(time.Minute), req, 300); got["old0"] == 0 {
-		t.Fatal("the server did not come back")
+		t.Fatal("the server got no requests after its ejection")
 	}
 }
 
-func TestPrefixSticksUnlessBusy(t *testing.T) {
+func TestPrefixStaysOnItsServerUnlessOverloaded(t *testing.T) {
 	r, now := routes(), time.Unix(1, 0)
 	req := route.Request{Target: "m", Rows: rows(1, 0), Prefix: 77}
 	first := count(r, now, req, 100)
-	holder := ""
+	server := ""
 	for id, n := range first {
 		if n == 100 && id != "old" {
-			holder = id
+			server = id
 		}
 	}
-	if holder == "" {
-		t.Fatalf("a prefix went to several idle servers: %v", first)
+	if server == "" {
+		t.Fatalf("the requests of a prefix went to several idle servers: %v", first)
 	}
 	for range 20 {
-		r.Started(holder)
+		r.Started(server)
 	}
-	if got := count(r, now, req, 100); got[holder] > 50 {
-		t.Fatalf("the busy holder still got %d of 100", got[holder])
+	if got := count(r, now, req, 100); got[server] > 50 {
+		t.Fatalf("the overloaded server of the prefix got %d of 100 requests", got[server])
 	}
 }
