--- a/peer/bounds_test.go
+++ b/peer/bounds_test.go
@@ -13,13 +13,14 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// patient serves a method that answers when it is told to, and counts open connections.
-type patient struct {
+// blockingServer serves a method that responds once answer is closed or receives a value, and
+// counts open connections.
+type blockingServer struct {
 	answer chan struct{}
 	open   atomic.Int64
 }
 
-func (p *patient) listen(t *testing.T) (addr string) {
+func (p *blockingServer) listen(t *testing.T) (addr string) {
 	t.Helper()
 	m := peer.NewMux()
 	peer.Handle(m, "wait", func(ctx context.Context, req *message) (*message, error) {
@@ -39,14 +40,14 @@
 	return tcptest.Listen(t, func(conn net.Conn, _ int) {
 		p.open.Add(1)
 		defer p.open.Add(-1)
-		whole := &cutter{target: inner.Addr().String(), request: -1, answer: -1}
-		whole.relay(conn)
+		proxy := &truncatingProxy{target: inner.Addr().String(), request: -1, answer: -1}
+		proxy.relay(conn)
 	})
 }
 
-// mostOpen watches how many connections a client has open, which the other side sees closed only
-// later, and returns the most so far.
-func mostOpen(t *testing.T, client *peer.Client) func() int64 {
+// maxOpenConnections samples the number of open connections of a client, which the server sees closed only
+// later, and returns a function for the maximum so far.
+func maxOpenConnections(t *testing.T, client *peer.Client) func() int64 {
 	t.Helper()
 	var most atomic.Int64
 	ctx, cancel := context.WithCancel(t.Context())
@@ -60,17 +61,17 @@
 	return most.Load
 }
 
-// Guards against questions to other routers that together take more descriptors than their
-// share: after a pause hundreds are due at once, and none is answered soon.
+// Guards against calls to other routers that exceed their share of file descriptors: after a
+// pause of the process hundreds of calls are due at once, and none is answered soon.
 func TestOpenConnectionsAreBounded(t *testing.T) {
 	for name, build := range map[string]func(peer.Options) *peer.Client{"client": peer.NewClient, "greeter": peer.NewGreeter} {
 		t.Run(name, func(t *testing.T) {
-			const most = 8
-			p := &patient{answer: make(chan struct{})}
+			const limit = 8
+			p := &blockingServer{answer: make(chan struct{})}
 			addr := p.listen(t)
-			client := build(peer.Options{DialTimeout: time.Second, MaxOpen: most})
+			client := build(peer.Options{DialTimeout: time.Second, MaxOpen: limit})
 			defer func() { _ = client.Close() }()
-			opened := mostOpen(t, client)
+			opened := maxOpenConnections(t, client)
 			var waiting sync.WaitGroup
 			var failed atomic.Int64
 			for range 60 {
@@ -88,23 +89,24 @@
 			if failed.Load() != 60 {
 				t.Errorf("%d calls failed", failed.Load())
 			}
-			if n := opened(); n == 0 || n > most {
-				t.Errorf("%d connections at once, at most %d", n, most)
+			if n := opened(); n == 0 || n > limit {
+				t.Errorf("%d connections open at once, want 1 to %d", n, limit)
 			}
 			close(p.answer)
 			if _, err := peer.Call[message, message](t.Context(), client, addr, "wait", &message{}); err != nil {
-				t.Errorf("a call after the rush: %v", err)
+				t.Errorf("call after the burst: %v", err)
 			}
-			if n := client.Open(); n > most {
+			if n := client.Open(); n > limit {
 				t.Errorf("%d connections open", n)
 			}
 		})
 	}
 }
 
-// Guards against a call that waits for room beyond its time, or is said to be sent.
-func TestCallWithoutRoomWasNotSent(t *testing.T) {
-	p := &patient{answer: make(chan struct{})}
+// Guards against a call that waits for a slot beyond its deadline, or that then fails without
+// ErrNotSent.
+func TestCallWithoutSlotIsNotSent(t *testing.T) {
+	p := &blockingServer{answer: make(chan struct{})}
 	addr := p.listen(t)
 	client := peer.NewGreeter(peer.Options{DialTimeout: time.Second, MaxOpen: 1})
 	defer func() { _ = client.Close() }()
@@ -123,19 +125,19 @@
 	close(p.answer)
 }
 
-// Guards against a bound of one that is taken for none.
-func TestSmallestBound(t *testing.T) {
-	p := &patient{answer: make(chan struct{})}
+// Guards against a limit of one connection that is treated as no limit.
+func TestLimitOfOneConnection(t *testing.T) {
+	p := &blockingServer{answer: make(chan struct{})}
 	addr := p.listen(t)
 	client := peer.NewClient(peer.Options{DialTimeout: time.Second, MaxOpen: 1})
 	defer func() { _ = client.Close() }()
-	opened := mostOpen(t, client)
+	opened := maxOpenConnections(t, client)
 	var waiting sync.WaitGroup
 	for range 5 {
 		waiting.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
-			_, _ = peer.Call[message, message](ctx, client, addr, "wait", &message{}) // none is answered
+			_, _ = peer.Call[message, message](ctx, client, addr, "wait", &message{}) // no call is answered
 		})
 	}
 	waiting.Wait()
@@ -144,8 +146,8 @@
 	}
 }
 
-// Guards against a rush of dials: they are opened a few at a time, and none is lost.
-func TestDialsAreOpenedAFewAtATime(t *testing.T) {
+// Guards against calls that are lost while they wait for one of the limited concurrent dials.
+func TestConcurrentDialsAreLimited(t *testing.T) {
 	var calls atomic.Int64
 	addr := echo(t, &calls)
 	client := peer.NewClient(peer.Options{DialTimeout: 20 * time.Second})
--- a/peer/client.go
+++ b/peer/client.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	idleExpiry  = time.Minute
-	keptPerPeer = 8
-	// dialsAtOnce bounds the connections that a client opens at a time. After an outage many
-	// calls are due at once, and most of their peers are better reached one after the other.
-	dialsAtOnce = 32
-	// congestedTimeout bounds a call, and the opening of a connection, while this process's link
-	// is full: what waits there is about a second's worth.
+	idleExpiry     = time.Minute
+	maxIdlePerPeer = 8
+	// maxConcurrentDials bounds the connections that a client opens at the same time. After an
+	// outage many calls are due at once, and it is better to dial most of their peers one after
+	// the other.
+	maxConcurrentDials = 32
+	// congestedTimeout is the timeout of a call and of a dial while this process's link is
+	// saturated: the data queued on the link then takes about a second to send.
 	congestedTimeout = 1500 * time.Millisecond
 )
 
-// Client calls other processes by address and keeps connections open.
+// Client calls other processes by address. It pools connections.
 type Client struct {
 	pool   *drpcpool.Pool[string, drpcpool.Conn]
 	dialer net.Dialer
@@ -32,51 +33,51 @@
 	calls  atomic.Int64
 	open   atomic.Int64
 	meter  meter
-	// running has room for the calls under way, and conns for the open connections: one whose
-	// call was given up is closed a moment later. nil: there is no bound. dialing has room for
-	// the connections being opened.
+	// running, conns and dialing are semaphores for concurrent calls, open connections and dials
+	// in progress. conns is separate from running because the connection of a cancelled call is
+	// closed slightly after the call returns. nil means no limit.
 	running, conns, dialing chan struct{}
 }
 
 // Options are the settings of a client.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout is the timeout for opening a connection.
 	DialTimeout time.Duration
-	// From is an address from whose IP the client calls, so that a firewall can tell instances
-	// apart; empty: any.
+	// From is an address whose IP is the source address of calls, so that a firewall can
+	// distinguish instances; empty means any.
 	From string
-	// MaxOpen bounds the open connections: half of it may be in use, and half kept. 0: there
-	// is no bound.
+	// MaxOpen bounds the open connections: half of them may be in use and half idle. 0 means no
+	// limit.
 	MaxOpen int
-	// Congested tells whether this process's own link is full, so that calls and dials take
-	// longer; nil: it never is.
+	// Congested reports whether this process's own link is saturated, so that calls and dials
+	// get a longer timeout; nil means never.
 	Congested func() bool
 }
 
-// NewClient returns a client that keeps connections.
+// NewClient returns a client that keeps idle connections for reuse.
 func NewClient(o Options) *Client {
 	half := o.MaxOpen / 2
 	if o.MaxOpen > 0 {
-		half = max(half, 1) // 0 is no bound
+		half = max(half, 1) // 0 would mean no limit
 	}
-	return newClient(o, half, drpcpool.Options{Expiration: idleExpiry, KeyCapacity: keptPerPeer, Capacity: half})
+	return newClient(o, half, drpcpool.Options{Expiration: idleExpiry, KeyCapacity: maxIdlePerPeer, Capacity: half})
 }
 
-// NewGreeter returns a client that keeps no connection: for calls to very many
-// processes, to most of which there will be no other call. A kept connection takes
-// some 20 KB on either side.
+// NewGreeter returns a client that keeps no idle connections. It is for calls to very
+// many processes, most of which are called only once: an idle connection takes
+// about 20 KB on either side.
 func NewGreeter(o Options) *Client {
 	return newClient(o, o.MaxOpen, drpcpool.Options{Capacity: -1})
 }
 
-func newClient(o Options, calls int, kept drpcpool.Options) *Client {
+func newClient(o Options, maxCalls int, poolOptions drpcpool.Options) *Client {
 	c := &Client{
-		pool:    drpcpool.New[string, drpcpool.Conn](kept),
+		pool:    drpcpool.New[string, drpcpool.Conn](poolOptions),
 		opts:    o,
-		dialing: make(chan struct{}, dialsAtOnce),
+		dialing: make(chan struct{}, maxConcurrentDials),
 	}
-	if calls > 0 {
-		c.running = make(chan struct{}, calls)
+	if maxCalls > 0 {
+		c.running = make(chan struct{}, maxCalls)
 		c.conns = make(chan struct{}, o.MaxOpen)
 	}
 	if host, _, err := net.SplitHostPort(o.From); err == nil {
@@ -87,17 +88,17 @@
 	return c
 }
 
-// Close closes all kept connections.
+// Close closes all idle connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-// Bytes returns the bytes sent and received so far.
+// Bytes returns the number of bytes sent and received so far.
 func (c *Client) Bytes() int64 { return c.bytes.Load() }
 
-// Calls returns the calls made so far.
+// Calls returns the number of calls made so far.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Timeout returns the time that a call may take which takes no longer than normal while this
-// process's link is not full.
+// Timeout returns the timeout of a call: normal, or at least congestedTimeout while this process's
+// link is saturated.
 func (c *Client) Timeout(normal time.Duration) time.Duration {
 	if c.opts.Congested != nil && c.opts.Congested() {
 		return max(normal, congestedTimeout)
@@ -105,7 +106,7 @@
 	return normal
 }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (c *Client) Open() int64 { return c.open.Load() }
 
 func (c *Client) dial(ctx context.Context, addr string) (drpcpool.Conn, error) {
@@ -127,10 +128,11 @@
 	return drpcconn.New(&countingConn{Conn: conn, client: c}), nil
 }
 
-// errBusy means that too many calls were under way until the call's time was over.
-var errBusy = errors.New("too many calls under way")
+// errBusy is returned if a call's context ends while the call waits for a free slot.
+var errBusy = errors.New("too many concurrent calls or connections")
 
-// acquire waits for room in a bound; nil has room always.
+// acquire waits for a free slot of a semaphore; a nil semaphore has no limit. It returns an error
+// that wraps ErrNotSent if the context ends first.
 func acquire(ctx context.Context, slots chan struct{}) error {
 	if slots == nil {
 		return nil
@@ -149,8 +151,8 @@
 	}
 }
 
-// Call calls a method. An error with a result code comes from the peer; one
-// that is ErrNotSent certainly did not reach it.
+// Call calls a method. An error with a result code comes from the peer. An error
+// that wraps ErrNotSent means that the call certainly did not reach the peer.
 func Call[Req, Resp any](ctx context.Context, c *Client, addr, method string, req *Req) (*Resp, error) {
 	c.calls.Add(1)
 	if err := acquire(ctx, c.running); err != nil {
@@ -160,13 +162,13 @@
 	conn := c.pool.Get(ctx, addr, c.dial)
 	defer conn.Close()
 	resp := new(Resp)
-	if err := conn.Invoke(ctx, method, c.meter.of(method), req, resp); err != nil {
+	if err := conn.Invoke(ctx, method, c.meter.encodingFor(method), req, resp); err != nil {
 		return nil, decodeError(err)
 	}
 	return resp, nil
 }
 
-// countingConn counts the bytes of a connection, and its end.
+// countingConn counts the bytes of a connection and releases its slot when it is closed.
 type countingConn struct {
 	net.Conn
 	client *Client
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -11,7 +11,7 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// The methods that routers offer each other and operators.
+// RPC methods that routers serve to each other and to operators.
 const (
 	MethodBudget  = "budget.Deliver"
 	MethodHolding = "budget.Holding"
@@ -34,7 +34,7 @@
 	MethodPermit   = "limits.Permit"
 )
 
-// Empty is an answer without content.
+// Empty is an empty request or response.
 type Empty struct{}
 
 // BudgetMessage carries a budget message.
@@ -42,264 +42,266 @@
 	Message budget.Message
 }
 
-// HoldingRequest asks what a router holds of budgets.
+// HoldingRequest requests the holdings of a router for the given budgets.
 type HoldingRequest struct{ Budgets []string }
 
-// HoldingAnswer gives the holdings by budget.
+// HoldingAnswer returns the holdings by budget.
 type HoldingAnswer struct {
 	Incarnation string
 	Holdings    map[string]budget.Holding
 }
 
-// LedgerRequest submits an op to a shard.
+// LedgerRequest submits an operation to a ledger shard.
 type LedgerRequest struct {
 	Shard   int
 	Op      ledger.Op
 	Durable bool
 }
 
-// LedgerAnswer is the op's outcome.
+// LedgerAnswer returns the outcome of the operation.
 type LedgerAnswer struct {
 	Outcome ledger.Outcome
 }
 
-// RunningRequest asks whether a connection with that claim is being served.
+// RunningRequest asks whether a connection with the given claim is being served.
 type RunningRequest struct {
 	Incarnation string
 	Claim       string
 }
 
-// RunningAnswer tells so. Running is false also when the incarnation is gone.
+// RunningAnswer answers a RunningRequest. Running is also false if the incarnation no longer exists.
 type RunningAnswer struct {
 	Running bool
 }
 
-// PrepareRequest asks for the acknowledgement of a proposal.
+// PrepareRequest requests the acknowledgement of a proposed table change.
 type PrepareRequest struct {
 	Change table.Change
 }
 
-// PrepareAnswer acknowledges, or tells the last decided revision known.
+// PrepareAnswer acknowledges the proposal or returns the last decided revision that is known.
 type PrepareAnswer struct {
 	OK       bool
 	Revision int64
 }
 
-// DecideRequest tells a final change.
+// DecideRequest announces a decided table change.
 type DecideRequest struct {
 	Change table.Change
 }
 
-// DecideAnswer tells the revision now in force.
+// DecideAnswer returns the current revision.
 type DecideAnswer struct {
 	Revision int64
 }
 
-// LeavingRequest tells that an instance is leaving.
+// LeavingRequest announces that an instance is leaving.
 type LeavingRequest struct {
 	// Kind is "router" or "backend".
 	Kind string
 	ID   string
 }
 
-// WhoAnswer names the process that answers.
+// WhoAnswer identifies the responding process.
 type WhoAnswer struct {
 	Incarnation string
 }
 
-// Router names a router process.
+// Router describes a router process.
 type Router struct {
 	ID, Addr, Domain, Incarnation string
-	// LinkMbps is the capacity of its network link, 0 if it is not known.
+	// LinkMbps is the capacity of its network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
 }
 
-// HelloRequest introduces a router to another one.
+// HelloRequest announces a router to another one.
 type HelloRequest struct{ Self Router }
 
-// HelloAnswer tells an introduced router of the fleet.
+// HelloAnswer describes the fleet to the router that sent a HelloRequest.
 type HelloAnswer struct {
-	// Self is the asked router.
+	// Self is the responding router.
 	Self Router
-	// Known tells that the asked router has read the list of all routers.
+	// Known is set if the responding router has read the list of all routers.
 	Known bool
-	// Fleet is then the number of routers, and Contacts are those from which the asking one
-	// gets updates; in a small fleet all.
+	// Fleet is the number of routers if Known is set. Contacts are the routers from which the
+	// requesting router gets updates; in a small fleet all routers.
 	Fleet    int
 	Contacts []Router
 }
 
-// UpdatesRequest asks for the changes after those that the asking router has.
+// UpdatesRequest requests the changes that the requesting router does not have yet.
 type UpdatesRequest struct {
-	// Servers and Routers are the store's revisions up to which it knows all changes of the
-	// registrations of backend servers and of routers; 0: it knows none.
+	// Servers and Routers are the store revisions up to which the requesting router has all
+	// changes of the registrations of backend servers and of routers; 0 if it has none.
 	Servers, Routers int64
-	// ReportSource is the process that it received reports from last, VerdictSeq the sequence
-	// number of the last one on requests that crash servers, and LimitSeq that of the last one
-	// on rate limits.
+	// ReportSource is the process from which the requesting router last received reports.
+	// VerdictSeq is the sequence number of the last report on requests that crash servers, and
+	// LimitSeq that of the last report on rate limits.
 	ReportSource string
 	VerdictSeq   int64
 	LimitSeq     int64
-	// StoreAnswered tells that the store has just answered the asking router, which has not
-	// called it for updates yet.
+	// StoreAnswered is set if the store has just answered a probe of the requesting router, and
+	// the router has not queried it for updates yet.
 	StoreAnswered bool
 }
 
-// Kind is a kind of objects of which routers send each other lists.
+// Kind is the kind of the objects in a list that routers exchange.
 type Kind string
 
-// The kinds.
+// Object kinds.
 const (
 	// KindServers are the registrations of backend servers, and KindRouters those of routers.
 	KindServers Kind = "servers"
 	KindRouters Kind = "routers"
 )
 
-// ListRequest asks for a page of all objects of a kind.
+// ListRequest requests a page of the list of all objects of a kind.
 type ListRequest struct {
 	Kind Kind
-	// After is the last key of the page before; empty: the first page is asked for.
+	// After is the last key of the previous page; empty for the first page.
 	After string
 }
 
-// ListAnswer is a page of all objects of a kind in the order of their keys. Pages may be of
-// different revisions: the changes after that of the first one are to be read after the last one.
+// ListAnswer is a page of the list of all objects of a kind, ordered by key. Pages may be of
+// different revisions: after the last page, the reader must read the changes since the revision of
+// the first page.
 type ListAnswer struct {
-	// Revision is the store's revision up to which all changes are in the page.
+	// Revision is the store revision up to which the page includes all changes.
 	Revision int64
-	// Age is how long ago that was the newest state, by the store's answer.
+	// Age is the time since Revision was the newest state, by the store's response.
 	Age time.Duration
-	// Packed is a compressed list of Registration, of which each was as old as it says
+	// Packed is a compressed list of Registration. The ages in it are relative to the time
 	// SnapshotAge ago.
 	Packed      []byte
 	SnapshotAge time.Duration
-	// More tells that another page follows.
+	// More is set if another page follows.
 	More bool
 }
 
-// Registration is the registration of a backend server or a router as it lies in the store, or its
-// deletion.
+// Registration is the stored registration of a backend server or a router, or its deletion.
 type Registration struct {
 	Key     string
 	Version int64
 	Value   []byte
 	Deleted bool
-	// Age is how long ago the store told it, to whichever router.
+	// Age is the time since the store returned the registration to any router.
 	Age time.Duration
 }
 
-// Ages are the times since a router knew all changes in the store, by kind of object; Unheard:
-// it has received none.
+// Ages holds the staleness of a router's state by kind of object: the time since the router had all
+// changes in the store. It is Unheard if the router has received no state.
 type Ages struct{ Config, Servers, Evacuated time.Duration }
 
-// Unheard is the age of what was never heard of.
+// Unheard is the age of state that was never received.
 const Unheard time.Duration = -1
 
-// Changes are the changes of one kind of registrations.
+// Changes holds changes of one kind of registrations.
 type Changes struct {
-	// UpTo is the store's revision up to which these are all changes; 0: the answering router
-	// knows none.
+	// UpTo is the store revision up to which the changes are complete; 0 if the responding
+	// router has none.
 	UpTo int64
-	// List tells that the changes are not held any more: all objects are to be read.
+	// List is set if the responding router no longer has the changes: the requesting router must
+	// read the list of all objects.
 	List bool
-	// More tells that there are changes after UpTo, which another request brings.
+	// More is set if there are changes after UpTo, to be read by another request.
 	More bool
-	// Changed are the changes. Where they are many, Packed is a compressed list of them instead,
-	// of which each was as old as it says PackedAge ago.
+	// Changed are the changes. Many changes are sent instead as Packed, a compressed list whose
+	// ages are relative to the time PackedAge ago.
 	Changed   []Registration
 	Packed    []byte
 	PackedAge time.Duration
 }
 
-// UpdatesAnswer holds the changes since.
+// UpdatesAnswer returns the changes since those named in the UpdatesRequest.
 type UpdatesAnswer struct {
-	// Current tells that the answering router's state is current: it watches the store, or
+	// Current is set if the state of the responding router is current: it watches the store, or
 	// has just received updates from a watcher.
 	Current bool
-	// Lost tells that the store does not answer it.
+	// Lost is set if the store does not answer the responding router.
 	Lost bool
-	// Direct tells that Current or Lost comes from the store itself. Relays accept updates
-	// only from such a router, so that none circulates without end.
+	// Direct is set if Current or Lost was observed at the store itself. Relays accept updates
+	// only from such a router, so that updates do not circulate between relays forever.
 	Direct bool
-	// Origin is the router that has Current from the store itself.
+	// Origin is the router that observed Current at the store itself.
 	Origin string
-	// Ages are the ages of its state, counted from the store's answers.
+	// Ages are the ages of the responding router's state, counted from the store's responses.
 	Ages Ages
-	// Config is the version of the answering router's configuration.
+	// Config is the version of the responding router's configuration.
 	Config int64
-	// Source is the answering process.
+	// Source is the responding process.
 	Source string
-	// Servers are the changes of backend servers' registrations, and Routers those of routers.
+	// Servers and Routers are the changes of the registrations of backend servers and of routers.
 	Servers, Routers Changes
-	// Evacuated are the failure domains that the operator has evacuated, as they were at
-	// the store's revision EvacuatedAt; 0: none is known.
+	// Evacuated are the failure domains that the operator has evacuated, as of the store
+	// revision EvacuatedAt; 0 if unknown.
 	Evacuated   []string
 	EvacuatedAt int64
-	// Verdicts is what the answering process has learnt of requests that end servers
-	// after the asked number, and VerdictSeq the number of the last of that.
+	// Verdicts are the reports of the responding process on requests that crash servers, after
+	// the requested sequence number. VerdictSeq is the sequence number of the last one.
 	Verdicts   poison.Report
 	VerdictSeq int64
-	// Limits and LimitSeq are the same for the rate limits of servers.
+	// Limits and LimitSeq are the equivalent for the rate limits of servers.
 	Limits   limiter.Report
 	LimitSeq int64
 }
 
-// LimitsRequest reports rate limits that servers named, and asks for all that are known if
-// All is set.
+// LimitsRequest reports rate limits that servers declared. If All is set, it also requests all
+// known rate limits.
 type LimitsRequest struct {
 	Report limiter.Report
 	All    bool
 }
 
-// LimitsAnswer is what was asked for.
+// LimitsAnswer returns the requested rate limits.
 type LimitsAnswer struct{ Report limiter.Report }
 
 // PermitRequest asks for a permit for one request to a server.
 type PermitRequest struct {
 	Server placement.Incarnation
-	// Rate is what the server takes from all routers, as far as the asking one knows.
+	// Rate is the rate that the server accepts from all routers together, as known to the
+	// requesting router.
 	Rate limiter.Rate
-	// Rank is the urgency of the request.
+	// Rank is the priority of the request.
 	Rank limiter.Rank
-	// Fallback tells that the owner of the rate did not answer, and Again that another owner
-	// was asked for the request before.
+	// Fallback is set if the owner of the rate did not answer, and Again if another owner was
+	// asked for a permit for the same request before.
 	Fallback, Again bool
 }
 
-// PermitAnswer grants a permit, or tells how long from now the next one can be granted.
+// PermitAnswer grants a permit or returns the time until the next one can be granted.
 type PermitAnswer struct {
 	Granted bool
 	Wait    time.Duration
 }
 
-// VerdictsRequest reports requests that crash servers, and asks for all that is
-// known of them if All is set.
+// VerdictsRequest reports requests that crash servers. If All is set, it also
+// requests all known reports.
 type VerdictsRequest struct {
 	Report poison.Report
 	All    bool
 }
 
-// VerdictsAnswer is what was asked for.
+// VerdictsAnswer returns the requested reports.
 type VerdictsAnswer struct{ Report poison.Report }
 
-// ConfigAnswer is a router's configuration.
+// ConfigAnswer returns a router's configuration.
 type ConfigAnswer struct {
-	// Packed is its stored form, compressed; nil if the router has none.
+	// Packed is the compressed stored form of the configuration; nil if the router has none.
 	Packed []byte
 }
 
-// LeftAnswer names the backend servers known to be leaving.
+// LeftAnswer returns the ids of the backend servers that are known to be leaving.
 type LeftAnswer struct {
 	Servers []string
 }
 
-// BarrierRequest asks a router to accept nothing more from fenced
-// incarnations, and to commit all ledger items that it holds.
+// BarrierRequest requests that a router accept no further messages from fenced
+// incarnations and commit all ledger items that it holds.
 type BarrierRequest struct {
 	Fenced []string
 }
 
-// AdminRequest is an operator's command in JSON: its name and arguments.
+// AdminRequest is an operator's command: its name and its arguments in JSON.
 type AdminRequest struct {
 	Operator string
 	Key      string
@@ -307,7 +309,7 @@
 	Args     []byte
 }
 
-// AdminAnswer is the command's result in JSON.
+// AdminAnswer returns the command's result in JSON.
 type AdminAnswer struct {
 	Result []byte
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer is the protocol between gaplink's own processes: drpc with
-// typed Go messages in msgpack.
+// Package peer implements the protocol between gaplink's own processes: drpc
+// with typed Go messages in msgpack.
 //
-// drpc leaves the encoding open; with msgpack the build needs no generator.
+// drpc supports custom encodings; msgpack requires no code generation.
 package peer
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// ErrNotSent marks a call that certainly did not reach the peer.
+// ErrNotSent is wrapped by errors of calls that certainly did not reach the peer.
 var ErrNotSent = errors.New("peer: not sent")
 
 // codec is the drpc encoding of all messages.
@@ -30,9 +30,9 @@
 // Unmarshal implements drpc.Encoding.
 func (codec) Unmarshal(buf []byte, msg drpc.Message) error { return msgpack.Unmarshal(buf, msg) }
 
-// Marshal encodes a message: structs as arrays, since the names of the fields
-// would be half of it. All processes of a fleet must know the same fields in
-// the same order.
+// Marshal encodes a message in msgpack. Structs are encoded as arrays, since field
+// names would take half of the message. All processes of a fleet must therefore have
+// the same fields in the same order.
 func Marshal(msg any) ([]byte, error) {
 	var b bytes.Buffer
 	enc := msgpack.NewEncoder(&b)
@@ -45,17 +45,17 @@
 
 type handler func(drpc.Stream) error
 
-// Mux dispatches calls by method name. It implements drpc.Handler.
+// Mux dispatches calls by method name; it implements drpc.Handler.
 type Mux struct {
 	methods map[string]handler
 }
 
-// NewMux returns a mux without methods.
+// NewMux returns an empty Mux.
 func NewMux() *Mux {
 	return &Mux{methods: map[string]handler{}}
 }
 
-// Handle registers a typed method.
+// Handle registers a handler for a typed method.
 func Handle[Req, Resp any](m *Mux, name string, fn func(context.Context, *Req) (*Resp, error)) {
 	m.methods[name] = func(stream drpc.Stream) error {
 		var req Req
@@ -79,13 +79,13 @@
 	return h(stream)
 }
 
-// encodeError carries a result code over drpc.
+// encodeError converts an error to a drpc error with its result code.
 func encodeError(err error) error {
 	e := result.From(err)
 	return drpcerr.WithCode(errors.New(e.Detail), uint64(e.Code))
 }
 
-// decodeError is the inverse of encodeError; other errors pass.
+// decodeError is the inverse of encodeError; it returns other errors unchanged.
 func decodeError(err error) error {
 	code := drpcerr.Code(err)
 	if code == 0 || code == drpcerr.Unimplemented {
@@ -94,7 +94,7 @@
 	return result.New(result.Code(code), "%s", err.Error())
 }
 
-// Serve answers calls on the listener until the context ends.
+// Serve serves calls on the listener until the context ends.
 func Serve(ctx context.Context, listener net.Listener, m *Mux) error {
 	return drpcserver.New(m).Serve(ctx, listener)
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -12,7 +12,7 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// message has what real messages have: numbers, flags, bytes and lists.
+// message has the field types of real messages: numbers, flags, bytes and lists.
 type message struct {
 	Name  string
 	Count int64
@@ -27,7 +27,7 @@
 	}}
 }
 
-// echo serves a method that gives the sample back, and counts its calls.
+// echo serves a method that returns its request, and counts its calls.
 func echo(t *testing.T, calls *atomic.Int64) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,38 +45,38 @@
 	return l.Addr().String()
 }
 
-// cutter relays connections to target and closes both sides after so many bytes
-// of the request or of the answer; a negative number cuts nothing.
-type cutter struct {
+// truncatingProxy relays connections to target and closes both sides after the given
+// number of bytes of the request or of the answer; a negative number means no limit.
+type truncatingProxy struct {
 	target           string
 	request, answer  int64
 	reqSeen, ansSeen atomic.Int64
 }
 
-func (c *cutter) listen(t *testing.T) (addr string) {
+func (c *truncatingProxy) listen(t *testing.T) (addr string) {
 	t.Helper()
 	return tcptest.Listen(t, func(conn net.Conn, _ int) { c.relay(conn) })
 }
 
-func (c *cutter) relay(conn net.Conn) {
-	onward, err := net.Dial("tcp", c.target)
+func (c *truncatingProxy) relay(conn net.Conn) {
+	server, err := net.Dial("tcp", c.target)
 	if err != nil {
 		_ = conn.Close()
 		return
 	}
 	closeBoth := func() {
 		_ = conn.Close()
-		_ = onward.Close()
+		_ = server.Close()
 	}
 	go func() {
-		c.copy(onward, conn, c.request, &c.reqSeen)
+		c.copy(server, conn, c.request, &c.reqSeen)
 		closeBoth()
 	}()
-	c.copy(conn, onward, c.answer, &c.ansSeen)
+	c.copy(conn, server, c.answer, &c.ansSeen)
 	closeBoth()
 }
 
-func (c *cutter) copy(to io.Writer, from io.Reader, limit int64, seen *atomic.Int64) {
+func (c *truncatingProxy) copy(to io.Writer, from io.Reader, limit int64, seen *atomic.Int64) {
 	if limit >= 0 {
 		from = io.LimitReader(from, limit)
 	}
@@ -84,7 +84,7 @@
 	seen.Add(n)
 }
 
-func callThrough(t *testing.T, c *cutter) (*message, error) {
+func callThroughProxy(t *testing.T, c *truncatingProxy) (*message, error) {
 	t.Helper()
 	client := peer.NewClient(peer.Options{DialTimeout: time.Second})
 	defer func() { _ = client.Close() }()
@@ -94,38 +94,39 @@
 	return peer.Call[message, message](ctx, client, c.listen(t), "echo", &req)
 }
 
-// TestCutMessagesAreErrors cuts the request and the answer of a call at each
-// byte: no handler sees a part of a message, and no caller takes one.
-func TestCutMessagesAreErrors(t *testing.T) {
+// TestTruncatedMessagesAreErrors truncates the request and the response of a call at each
+// byte: no handler may receive a partial request, and no call may return a partial
+// response.
+func TestTruncatedMessagesAreErrors(t *testing.T) {
 	var calls atomic.Int64
 	target := echo(t, &calls)
-	whole, err := peer.Marshal(sample())
+	encoded, err := peer.Marshal(sample())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := callThrough(t, &cutter{target: target, request: -1, answer: -1}); err != nil || len(got.List) != 2 {
-		t.Fatalf("uncut: %+v, %v", got, err)
+	if got, err := callThroughProxy(t, &truncatingProxy{target: target, request: -1, answer: -1}); err != nil || len(got.List) != 2 {
+		t.Fatalf("not truncated: %+v, %v", got, err)
 	}
 	calls.Store(0)
-	size := int64(len(whole)) // a frame adds a head to it
+	size := int64(len(encoded)) // without the frame header
 	for n := range size {
-		if got, err := callThrough(t, &cutter{target: target, request: n, answer: -1}); err == nil {
-			t.Errorf("request cut at %d: %+v", n, got)
+		if got, err := callThroughProxy(t, &truncatingProxy{target: target, request: n, answer: -1}); err == nil {
+			t.Errorf("request truncated at byte %d: %+v", n, got)
 		}
 	}
 	if calls.Load() != 0 {
-		t.Errorf("%d handlers saw a part of a request", calls.Load())
+		t.Errorf("%d handlers received a partial request", calls.Load())
 	}
 	for n := range size {
-		if got, err := callThrough(t, &cutter{target: target, request: -1, answer: n}); err == nil {
-			t.Errorf("answer cut at %d: %+v", n, got)
+		if got, err := callThroughProxy(t, &truncatingProxy{target: target, request: -1, answer: n}); err == nil {
+			t.Errorf("response truncated at byte %d: %+v", n, got)
 		}
 	}
 }
 
-// TestMessagesOfOtherFieldsAreErrors: a message with fewer or more fields than
-// are known is no message with fields of 0.
-func TestMessagesOfOtherFieldsAreErrors(t *testing.T) {
+// TestMessagesWithOtherFieldsAreErrors checks that a message with fewer or more fields
+// than expected is an error and not decoded with zero fields.
+func TestMessagesWithOtherFieldsAreErrors(t *testing.T) {
 	type shorter struct {
 		Name  string
 		Count int64
@@ -136,15 +137,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if got, err := peer.Call[shorter, message](ctx, client, echo(t, &calls), "echo", &shorter{Name: "n"}); err == nil || calls.Load() != 0 {
-		t.Errorf("%+v after %d calls", got, calls.Load())
+		t.Errorf("request with missing fields: got %+v after %d calls", got, calls.Load())
 	}
 	if got, err := peer.Call[message, shorter](ctx, client, echo(t, &calls), "echo", &message{}); err == nil {
-		t.Errorf("answer: %+v", got)
+		t.Errorf("response with additional fields: got %+v", got)
 	}
 }
 
-// TestGreeterKeepsNoConnection: the server sees each connection end after its call,
-// and a client that keeps them uses the first one again.
+// TestGreeterKeepsNoConnection checks that a greeter closes each connection after its
+// call, and that a client with a pool reuses the first connection.
 func TestGreeterKeepsNoConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		client *peer.Client
@@ -158,8 +159,8 @@
 		addr := tcptest.Listen(t, func(conn net.Conn, _ int) {
 			opened.Add(1)
 			defer ended.Add(1)
-			whole := &cutter{target: target, request: -1, answer: -1}
-			whole.relay(conn)
+			proxy := &truncatingProxy{target: target, request: -1, answer: -1}
+			proxy.relay(conn)
 		})
 		for range 3 {
 			if _, err := peer.Call[message, message](t.Context(), c.client, addr, "echo", &message{Name: "n"}); err != nil {
