--- a/placement/pace.go
+++ b/placement/interval.go
@@ -64,7 +64,7 @@
 }
 
 // fastServers returns the servers of a list whose event interval is at most fastFactor
-// times the median, in the same order. A server without a known interval counts as fastServers.
+// times the median, in the same order. A server without a known interval counts as fast.
 func fastServers(list []*state) []*state {
 	bound := fastLimitOf(list)
 	return slices.DeleteFunc(slices.Clone(list), func(s *state) bool { return s.eventInterval > bound })
--- a/placement/open_test.go
+++ b/placement/pick_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestRoutersSpreadOverIdleServersOfADomain guards against many routers with few requests each that all
-// prefer the same idle server. A single router must prefer one server, so that it can reuse its
+// TestRoutersSpreadOverIdleServersOfADomain guards against many routers with few requests each that
+// all prefer the same idle server. A single router must prefer one server, so that it can reuse its
 // connections.
 func TestRoutersSpreadOverIdleServersOfADomain(t *testing.T) {
 	const routers, servers = 200, 305
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -26,8 +26,9 @@
 	// of a server's failure rate; about the last ten requests count.
 	failureRateWeight = 0.1
 	// failureRateMargin is how far a server's failure rate may be above twice the
-	// mean of its service before the server is avoided. Services other than
-	// engines answer a part of their requests with errors of their own.
+	// mean of its service before the server is avoided. Plain
+	// services, which are not engines, answer a part of their requests with errors
+	// of their own.
 	failureRateMargin = 0.25
 	// maxPendingTokens is the number of own unprocessed prompt tokens up to which
 	// a server is not overloaded for its prefixes: about a second of engine time.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestLeastLoadedServerIsPickedWithoutPrefix checks that without a prefix the least loaded server is picked,
-// preferably in the router's own failure domain.
+// TestLeastLoadedServerIsPickedWithoutPrefix checks that without a prefix the least loaded server is
+// picked, preferably in the router's own failure domain.
 func TestLeastLoadedServerIsPickedWithoutPrefix(t *testing.T) {
 	f := fleet(3)
 	q := placement.Query{Domain: "z1"}
