--- a/route/route.go
+++ b/route/route.go
@@ -3,9 +3,9 @@
 // A site is selected at random by the weights of the routing table. Within the
 // site, the server that caches the prompt's prefix is preferred unless it is
 // overloaded; otherwise the power of two choices applies. The load of a server
-// is the router's own requests in flight, which are current, or the load that
-// the server reports, which is delayed. The package is pure: callers pass the
-// time and the random source.
+// is the larger of the router's own requests in flight, which are current, and
+// the load that the server reports, which is delayed. The package is pure:
+// callers pass the time and the random source.
 package route
 
 import (
