--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -318,9 +318,9 @@
 	}
 }
 
-// TestNoConnectionBeyondTheBound checks that a request fails as not sent when all allowed
+// TestNoConnectionBeyondTheLimit checks that a request fails as not sent when all allowed
 // connections are in use.
-func TestNoConnectionBeyondTheBound(t *testing.T) {
+func TestNoConnectionBeyondTheLimit(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	addr := listen(t, func(net.Conn) { <-hold })
