--- a/peer/bounds_test.go
+++ b/peer/bounds_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// maxOpenConnections samples the number of open connections of a client, which the server sees closed only
-// later, and returns a function for the maximum so far.
+// maxOpenConnections samples the number of open connections of a client, which the server sees
+// closed only later, and returns a function for the maximum so far.
 func maxOpenConnections(t *testing.T, client *peer.Client) func() int64 {
 	t.Helper()
 	var most atomic.Int64
