--- a/server/operate.go
+++ b/server/admin.go
@@ -10,14 +10,14 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// operate carries out an operator's command. Without a key in the settings nobody is an
-// operator.
-func (s *Server) operate(_ context.Context, req *peer.AdminRequest) (*peer.AdminAnswer, error) {
+// handleAdmin runs an operator's command. It rejects all commands if the settings have no
+// operator key.
+func (s *Server) handleAdmin(_ context.Context, req *peer.AdminRequest) (*peer.AdminAnswer, error) {
 	hash := s.current().Operator.KeyHash
 	if hash == "" || !authenticate.Matches(req.Key, hash) {
 		return nil, result.New(result.NotOperator, "the operator key is missing or wrong")
 	}
-	out, err := s.command(req)
+	out, err := s.runCommand(req)
 	if err != nil {
 		return nil, err
 	}
@@ -28,7 +28,7 @@
 	return &peer.AdminAnswer{Result: body}, nil
 }
 
-func (s *Server) command(req *peer.AdminRequest) (any, error) {
+func (s *Server) runCommand(req *peer.AdminRequest) (any, error) {
 	if req.Command == limits.CommandList {
 		return s.limits.List(), nil
 	}
--- a/server/watch.go
+++ b/server/bounds.go
@@ -12,11 +12,11 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// parts divides a bound on changes for the fleet as it is now.
-func (s *Server) parts(within time.Duration) bound.Parts { return bound.Divide(within, s.large()) }
+// parts divides a propagation bound into the time limits of its steps, by the current fleet size.
+func (s *Server) parts(within time.Duration) bound.Parts { return bound.Divide(within, s.largeFleet()) }
 
-// askEvery returns how often this router asks a relay for updates: by the shortest bound.
-func (s *Server) askEvery() time.Duration {
+// updateInterval returns how often this router requests updates from a relay, by the shortest bound.
+func (s *Server) updateInterval() time.Duration {
 	limits := s.settings.Bounds
 	within := min(limits.Apply.Std(), limits.Leave.Std())
 	if evacuate := limits.Evacuate.Std(); evacuate > 0 {
@@ -31,7 +31,7 @@
 	age := func(within settings.Duration) time.Duration {
 		switch p := s.parts(within.Std()); {
 		case within == 0:
-			return 0 // not followed
+			return 0 // this kind is not followed
 		case relay:
 			return p.RelayStaleAfter()
 		default:
@@ -42,7 +42,7 @@
 	return peer.Ages{Config: age(limits.Apply), Servers: age(limits.Leave), Evacuated: age(limits.Evacuate)}
 }
 
-// storeCalls prints calls by purpose.
+// storeCalls formats the number of store calls by purpose.
 type storeCalls map[store.Purpose]int64
 
 // String implements fmt.Stringer.
--- a/server/callers_test.go
+++ b/server/callers_test.go
@@ -25,19 +25,19 @@
 		t.Errorf("%d connections with a share of 50", n)
 	}
 	if callerLimit(184, 0) != callerLimit(184, 100000) {
-		t.Error("a share that is plenty changes the bound")
+		t.Error("a share above the memory limit changes the limit")
 	}
 }
 
-// Guards against a router that takes new callers until none is accepted any more.
-func TestCallersAreSentElsewhereBeforeTheLimit(t *testing.T) {
+// Guards against a router that stays ready until it cannot accept another connection.
+func TestRouterShedsCallersBeforeTheLimit(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &Server{callerLimit: 10, descriptors: &descriptors{}}
-	if s.crowded() {
-		t.Error("crowded before it listens")
+	if s.aboveHighWatermark() {
+		t.Error("above the high watermark before it listens")
 	}
 	l := s.boundCallers(raw)
 	defer func() { _ = l.Close() }()
@@ -53,20 +53,20 @@
 			t.Fatal(err)
 		}
 		open = append(open, accepted)
-		if s.crowded() != (n >= 7) {
-			t.Errorf("crowded %v with %d of 10 connections", s.crowded(), n)
+		if s.aboveHighWatermark() != (n >= 7) {
+			t.Errorf("above the high watermark: %v with %d of 10 connections", s.aboveHighWatermark(), n)
 		}
 	}
 	for _, c := range open[:5] {
 		_ = c.Close()
 	}
-	if s.crowded() {
-		t.Error("crowded with 5 of 10 connections")
+	if s.aboveHighWatermark() {
+		t.Error("above the high watermark with 5 of 10 connections")
 	}
 }
 
-// The gateway can reset a caller's connection only if it finds it below all that
-// counts and bounds connections.
+// The gateway can reset a caller's connection only if it can unwrap the listeners' wrappers, which
+// count bytes and limit connections.
 func TestCallerConnectionsAreReachable(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/server/cold.go
+++ b/server/cold.go
@@ -11,16 +11,15 @@
 	"github.com/gaplink/gaplink/limiter"
 )
 
-// rosterSettles is how long a process that has met the others takes its roster for too
-// small to grant or ask for permits by: lists of routers may be seconds old, and are read
-// again three seconds after the start. A process does not know either which permits the one
-// before it granted.
-const rosterSettles = 4 * time.Second
+// rosterSettleTime is how long after its start a process neither grants nor requests permits. Its
+// list of routers may be incomplete: lists may be seconds old and are read again three seconds
+// after the start. It also doesn't know which permits its predecessor granted.
+const rosterSettleTime = 4 * time.Second
 
-// rosterSettled tells whether this process has run long enough to know the others.
-func (s *Server) rosterSettled() bool { return clock.Since(s.begun) >= rosterSettles }
+// rosterSettled reports whether this process has run long enough to know the other routers.
+func (s *Server) rosterSettled() bool { return clock.Since(s.startedAt) >= rosterSettleTime }
 
-// newLimits returns what enforces the rates of servers.
+// newLimits returns the controller that enforces the rate limits of backend servers.
 func (s *Server) newLimits() *limits.Controller {
 	return limits.New(limits.Options{
 		Self:    s.settings.Instance.ID,
@@ -34,12 +33,12 @@
 	})
 }
 
-// audience are the routers to which this one reports what it observes.
+// audience returns the routers to which this one reports its observations.
 func (s *Server) audience() spread.Audience {
 	return spread.Audience{Members: s.members, RelayIDs: s.relayIDs}
 }
 
-// warmups are what the cold servers of each service take.
+// warmups returns the warm-up time and rate for cold servers, by service.
 func warmups(c *catalog.Catalog) map[string]registry.Warmup {
 	all := map[string]registry.Warmup{}
 	for name, service := range c.Services {
--- a/server/holding_test.go
+++ b/server/escrow_test.go
@@ -11,11 +11,10 @@
 	"github.com/gaplink/gaplink/lab/clocktest"
 )
 
-// TestEscrowsGoByTheSteadyClock: what a process releases of its tokens and what the one
-// after it takes that for go by one clock, and by the one that starts anew at a loss of
-// power. By one that goes on over it, tokens would be taken back that were used before; by
-// two, those released while the machine was suspended.
-func TestEscrowsGoByTheSteadyClock(t *testing.T) {
+// Escrows must use one clock in a process and its successor, and one that restarts at a power loss.
+// With a clock that continues over a power loss, tokens that were already used would be reclaimed;
+// with two different clocks, tokens released while the machine was suspended.
+func TestEscrowsUseTheMonotonicClock(t *testing.T) {
 	machine := clocktest.New(t)
 	s := &Server{log: zap.NewNop()}
 	var cfg budget.Config
@@ -26,6 +25,6 @@
 		t.Fatal(err)
 	}
 	if off := cfg.Uptime(time.Now()) - time.Duration(steady.Nano()); off.Abs() > time.Second {
-		t.Errorf("the uptime is %s off the steady clock", off)
+		t.Errorf("the uptime differs from the monotonic clock by %s", off)
 	}
 }
--- a/server/link.go
+++ b/server/link.go
@@ -12,124 +12,126 @@
 	"github.com/gaplink/gaplink/link"
 )
 
-// bytesPerMbit converts a link's capacity.
+// bytesPerMbit converts Mbit/s to bytes per second.
 const bytesPerMbit = 1e6 / 8
 
-// congestedDialTimeout bounds the opening of a connection while the router's
-// own link is full: what waits there is about a second's worth.
+// congestedDialTimeout bounds opening a connection while the router's own link is congested, when
+// about a second of traffic is queued there.
 const congestedDialTimeout = 1500 * time.Millisecond
 
-// starvedWindow is how long a window takes whose end had to wait for processor time.
+// starvedWindow is the window length from which its timer counts as delayed by a lack of CPU time.
 const starvedWindow = link.Window + 150*time.Millisecond
 
-// linkState is what the router goes by while its link is full.
+// linkState tracks whether this router is congested or busy, and whether other routers leave its
+// calls unanswered.
 type linkState struct {
-	mu    sync.Mutex
-	guard link.Guard
-	away  bool // as observed last
-	// starved tells that the last window ended late, since the process had no turn.
+	mu       sync.Mutex
+	shedder  link.Guard
+	shedding bool // at the end of the last window
+	// starved is set if the last window ended late for lack of CPU time.
 	starved bool
-	// observedAt is when the last window ended; zero: none has.
+	// observedAt is the end of the last window; zero before the first one ends.
 	observedAt time.Time
-	// noFilesUntil is until when the process counts as out of descriptors.
-	noFilesUntil time.Time
-	// troubledAt is when the router was busy last, and unansweredFrom when the last question
-	// began to which nobody answered although the router was not busy.
-	troubledAt, unansweredFrom time.Time
+	// descriptorsOutUntil is the time until which the process counts as out of file descriptors.
+	descriptorsOutUntil time.Time
+	// lastBusyAt is the last time that the router was busy. unansweredFrom is the start of the
+	// last call to another router that failed while this router was not busy.
+	lastBusyAt, unansweredFrom time.Time
 }
 
-// Away tells whether the router should get no new connections.
-func (l *linkState) Away() bool {
+// Shedding reports whether the router should receive no new connections.
+func (l *linkState) Shedding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.guard.Away(clock.Now())
+	return l.shedder.Away(clock.Now())
 }
 
-// Full tells whether the link is full now.
-func (l *linkState) Full() bool {
+// Congested reports whether the link was congested in the last window.
+func (l *linkState) Congested() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.guard.Full()
+	return l.shedder.Full()
 }
 
-// Busy tells whether the link is full, the processor time or the descriptors are used up, or
-// the process was paused just now, so that what this router hears and sends is late.
+// Busy reports whether the link is congested, CPU time or file descriptors are exhausted, or the
+// process was paused just now, so that its messages are late in both directions.
 func (l *linkState) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.busy(clock.Now())
 }
 
-// busy is Busy. A process that was paused may serve requests before its timers fire. It is
-// called under the lock.
+// busy implements Busy; the caller holds the lock. It also compares the time since the last window,
+// because a process that resumes from a pause may serve requests before its timers fire.
 func (l *linkState) busy(now time.Time) bool {
 	overdue := !l.observedAt.IsZero() && now.Sub(l.observedAt) >= starvedWindow
-	return l.guard.Full() || l.starved || overdue || now.Before(l.noFilesUntil)
+	return l.shedder.Full() || l.starved || overdue || now.Before(l.descriptorsOutUntil)
 }
 
-// HasAskedSince tells whether this router has asked another one after a moment, and after it was
-// busy last, and got no answer.
-func (l *linkState) HasAskedSince(moment time.Time) bool {
+// UnansweredSince reports whether a call to another router that began after the given time, and
+// after this router was last busy, got no answer.
+func (l *linkState) UnansweredSince(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.unansweredFrom.After(l.troubledAt) && l.unansweredFrom.After(moment)
+	return l.unansweredFrom.After(l.lastBusyAt) && l.unansweredFrom.After(t)
 }
 
-// noFilesFor is how long one call without a descriptor counts: some questions to others.
-const noFilesFor = time.Second
+// descriptorsOutPeriod is how long the process counts as out of file descriptors after a call failed
+// for lack of one; several calls to other routers fall into it.
+const descriptorsOutPeriod = time.Second
 
-// failed takes how a question to another router has failed that began at a time. While this
-// router is busy that says nothing of the others.
-func (l *linkState) failed(begun time.Time, err error) {
+// recordFailure records the error of a call to another router that began at the given time. While
+// this router is busy, a failure says nothing about the other router.
+func (l *linkState) recordFailure(start time.Time, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
 	switch {
 	case errors.Is(err, syscall.EMFILE):
-		l.noFilesUntil = now.Add(noFilesFor)
-		l.troubledAt = now
+		l.descriptorsOutUntil = now.Add(descriptorsOutPeriod)
+		l.lastBusyAt = now
 	case !l.busy(now):
-		l.unansweredFrom = begun
+		l.unansweredFrom = start
 	}
 }
 
-// questionFailed takes how a question to another router has failed that began at a time.
-func (s *Server) questionFailed(begun time.Time, err error) {
-	s.descriptors.failed(err)
-	s.link.failed(begun, err)
+// peerCallFailed handles the error of a call to another router that began at the given time.
+func (s *Server) peerCallFailed(start time.Time, err error) {
+	s.descriptors.handleError(err)
+	s.link.recordFailure(start, err)
 }
 
-// observe takes the load of a window and how long that was, and tells whether Away has
-// changed.
+// observe records the load and the length of a window and reports whether Shedding has changed.
 func (l *linkState) observe(now time.Time, load link.Load, window time.Duration) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.guard.Observe(now, load)
+	l.shedder.Observe(now, load)
 	l.starved = window >= starvedWindow
 	l.observedAt = now
 	if l.busy(now) {
-		l.troubledAt = now
+		l.lastBusyAt = now
 	}
-	was := l.away
-	l.away = l.guard.Away(now)
-	return was != l.away
+	was := l.shedding
+	l.shedding = l.shedder.Away(now)
+	return was != l.shedding
 }
 
-// endLinkWindow ends a window of the meter, which began at a time, and tells the guard of its load.
-func (s *Server) endLinkWindow(begun, now time.Time) {
+// endLinkWindow ends the meter's window that began at the given time and records its load.
+func (s *Server) endLinkWindow(start, now time.Time) {
 	if s.settings.Link.Mbps == 0 {
 		return
 	}
 	load := s.meter.Tick(now)
-	if s.link.observe(now, load, now.Sub(begun)) {
-		s.log.Info("link load", zap.Bool("full", s.link.Away()), zap.Float64("in", load.In), zap.Float64("out", load.Out), zap.Int64("in_flight", s.gateway.InFlight()))
+	if s.link.observe(now, load, now.Sub(start)) {
+		s.log.Info("link load", zap.Bool("full", s.link.Shedding()), zap.Float64("in", load.In), zap.Float64("out", load.Out), zap.Int64("in_flight", s.gateway.InFlight()))
 	}
 }
 
-// linkWait is how long requests and answers wait at the router's link together, while that
-// is full. Calls take long for other reasons too, of which callers' bytes know nothing.
-func (s *Server) linkWait() time.Duration {
-	if !s.link.Full() {
+// linkDelay returns the queueing delay of a request and its response together at the router's link.
+// It is 0 unless the link is congested: calls between routers may be slow for other reasons, which
+// don't delay callers.
+func (s *Server) linkDelay() time.Duration {
+	if !s.link.Congested() {
 		return 0
 	}
 	return s.queue.Wait(clock.Now())
--- a/server/link_test.go
+++ b/server/link_test.go
@@ -14,9 +14,8 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// TestRouterWithoutProcessorTimeIsBusy: the pattern is a router of a fifth of a core with
-// many callers whose timers fired up to 3.2 s late; what it knew was as old, with a link that
-// was nearly empty.
+// Guards against a router that does not notice its lack of CPU time. With a fifth of a core and many
+// callers its timers fired up to 3.2 s late and its data was as old, while its link was nearly idle.
 func TestRouterWithoutProcessorTimeIsBusy(t *testing.T) {
 	var l linkState
 	now := time.Now()
@@ -38,42 +37,42 @@
 	}
 }
 
-// TestRouterWithoutDescriptorsIsBusy: the pattern is a hot account whose callers used up the
-// descriptors of a router. Each of its questions to others and to the store failed at once, it
-// served on by kept connections, and what it knew of the servers grew 9 s old.
+// Guards against a router that does not notice its lack of file descriptors. Callers of one account
+// used them up; each call to other routers and the store failed at once, while the router went on
+// serving over open connections with server data up to 9 s old.
 func TestRouterWithoutDescriptorsIsBusy(t *testing.T) {
 	var l linkState
-	l.failed(time.Now(), fmt.Errorf("%w: %w", peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ETIMEDOUT)}))
+	l.recordFailure(time.Now(), fmt.Errorf("%w: %w", peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ETIMEDOUT)}))
 	if l.Busy() {
-		t.Error("busy since another router does not answer")
+		t.Error("busy because another router does not answer")
 	}
-	l.failed(time.Now(), errors.Join(peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}))
+	l.recordFailure(time.Now(), errors.Join(peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}))
 	if !l.Busy() {
 		t.Error("not busy without descriptors")
 	}
 }
 
-// Guards against a router that is paused, or short of descriptors, and goes by what it knew
-// before until it happens to ask: it sent requests to servers that had left 3.9 s ago.
-func TestRouterThatWasBusyAsksBeforeItGoesByOldKnowledge(t *testing.T) {
+// Guards against a router that was paused or out of file descriptors and uses its old data until
+// its next request for updates: it sent requests to servers that had left 3.9 s before.
+func TestRouterThatWasBusyRefreshesBeforeUsingOldData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unreachable := fmt.Errorf("%w: %w", peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ETIMEDOUT)})
-		noFiles := errors.Join(peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)})
+		noDescriptors := errors.Join(peer.ErrNotSent, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)})
 		var l linkState
 		window := func() {
 			time.Sleep(link.Window)
 			l.observe(time.Now(), link.Load{}, link.Window)
 		}
 		known := time.Now()
-		check := func(when string, busy, asked bool) {
+		check := func(when string, busy, unanswered bool) {
 			t.Helper()
-			if l.Busy() != busy || l.HasAskedSince(known) != asked {
-				t.Errorf("%s: busy %v, has asked %v", when, l.Busy(), l.HasAskedSince(known))
+			if l.Busy() != busy || l.UnansweredSince(known) != unanswered {
+				t.Errorf("%s: busy %v, unanswered %v", when, l.Busy(), l.UnansweredSince(known))
 			}
 		}
 		window()
 		check("at the start", false, false)
-		l.failed(time.Now(), unreachable)
+		l.recordFailure(time.Now(), unreachable)
 		check("nobody answers from the start", false, true)
 		known = time.Now()
 		check("knows more since", false, false)
@@ -82,19 +81,19 @@
 		check("resumed, before a timer fires", true, false)
 		l.observe(time.Now(), link.Load{}, 3*time.Second)
 		check("resumed", true, false)
-		l.failed(before, unreachable)
+		l.recordFailure(before, unreachable)
 		window()
 		check("a question of before has failed", false, false)
-		l.failed(time.Now(), noFiles)
+		l.recordFailure(time.Now(), noDescriptors)
 		window()
 		check("a question had no descriptor", true, false)
-		time.Sleep(noFilesFor - link.Window)
+		time.Sleep(descriptorsOutPeriod - link.Window)
 		l.observe(time.Now(), link.Load{}, link.Window)
 		check("descriptors are free again", false, false)
-		l.failed(time.Now(), unreachable)
+		l.recordFailure(time.Now(), unreachable)
 		check("nobody answers", false, true)
-		begun := time.Now()
-		l.failed(begun, unreachable)
+		start := time.Now()
+		l.recordFailure(start, unreachable)
 		window()
 		check("nobody answers still", false, true)
 	})
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -12,10 +12,10 @@
 	"github.com/gaplink/gaplink/wakeups"
 )
 
-// MetricsPath is where the counters are served.
+// MetricsPath is the path of the Prometheus metrics.
 const MetricsPath = "/metrics"
 
-// serveMetrics serves the counters at the metrics address, if there is one.
+// serveMetrics serves the metrics at the metrics address, if one is set.
 func (s *Server) serveMetrics() error {
 	s.registerState()
 	if s.settings.Listen.Metrics == "" {
@@ -27,7 +27,7 @@
 	return s.listen(s.settings.Listen.Metrics, s.metrics, s.boundChecks)
 }
 
-// registerState registers what is read when the counters are asked for.
+// registerState registers the metrics that are computed at each scrape.
 func (s *Server) registerState() {
 	s.gauge("gaplink_config_version", "Version of the configuration in force.", func() float64 { return float64(s.configs.Version()) })
 	s.gauge("gaplink_config_age_seconds", "Age of what is known of the configuration, counted from the store's answer; below 0: nothing was heard.", func() float64 { return s.updates.Ages().Config.Seconds() })
@@ -35,7 +35,7 @@
 	s.gauge("gaplink_servers_cold", "Backend servers that are known to be cold and get little work.", func() float64 { return float64(s.servers.Cold()) })
 	s.gauge("gaplink_servers_limited", "Backend servers that name a rate limit.", func() float64 { return float64(s.limits.Limited()) })
 	s.gauge("gaplink_requests_in_flight", "Requests being served.", func() float64 { return float64(s.gateway.InFlight()) })
-	s.gauge("gaplink_caller_connections", "Open connections of callers.", func() float64 { return float64(s.callerSide.Open()) })
+	s.gauge("gaplink_caller_connections", "Open connections of callers.", func() float64 { return float64(s.callerListener.Open()) })
 	s.gauge("gaplink_registrations_unreadable", "Registrations of backend servers that could not be read, since the start.", func() float64 { return float64(s.servers.Unreadable()) })
 	s.gauge("gaplink_link_load_in", "Part of the link's capacity that was used inwards in the last window.", func() float64 { return s.meter.Load().In })
 	s.gauge("gaplink_link_load_out", "The same outwards.", func() float64 { return s.meter.Load().Out })
@@ -72,59 +72,60 @@
 	s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 }
 
-// stateCollector tells the budgets held and the servers known.
+// stateCollector collects the metrics whose labels are known only at a scrape: budgets, store
+// and peer calls, wake-ups, permits and backend servers.
 type stateCollector struct{ server *Server }
 
 var (
-	heldDesc = prometheus.NewDesc("gaplink_budget_tokens", "Tokens of an account that this router holds, by use.", []string{"account", "use"}, nil)
-	callsD   = prometheus.NewDesc("gaplink_store_calls_total", "Store calls, by kind of object and call; a list of several pages counts as one.", []string{"kind", "call"}, nil)
-	peerD    = prometheus.NewDesc("gaplink_peer_bytes_total", "Bytes of this router's calls of other routers, by method and direction, without framing.", []string{"method", "direction"}, nil)
-	wakesD   = prometheus.NewDesc("gaplink_wakeups_total", "Times that the process woke by its own timers, by purpose.", []string{"purpose"}, nil)
-	peersD   = prometheus.NewDesc("gaplink_peer_calls_total", "Calls of other routers, by method.", []string{"method"}, nil)
-	permitsD = prometheus.NewDesc("gaplink_permits_total", "Requests for servers with a rate limit, by what became of their permit.", []string{"outcome"}, nil)
-	serversD = prometheus.NewDesc("gaplink_servers", "Backend servers known, by state.", []string{"service", "state"}, nil)
+	budgetTokensDesc = prometheus.NewDesc("gaplink_budget_tokens", "Tokens of an account that this router holds, by use.", []string{"account", "use"}, nil)
+	storeCallsDesc   = prometheus.NewDesc("gaplink_store_calls_total", "Store calls, by kind of object and call; a list of several pages counts as one.", []string{"kind", "call"}, nil)
+	peerBytesDesc    = prometheus.NewDesc("gaplink_peer_bytes_total", "Bytes of this router's calls of other routers, by method and direction, without framing.", []string{"method", "direction"}, nil)
+	wakeupsDesc      = prometheus.NewDesc("gaplink_wakeups_total", "Times that the process woke by its own timers, by purpose.", []string{"purpose"}, nil)
+	peerCallsDesc    = prometheus.NewDesc("gaplink_peer_calls_total", "Calls of other routers, by method.", []string{"method"}, nil)
+	permitsDesc      = prometheus.NewDesc("gaplink_permits_total", "Requests for servers with a rate limit, by what became of their permit.", []string{"outcome"}, nil)
+	serversDesc      = prometheus.NewDesc("gaplink_servers", "Backend servers known, by state.", []string{"service", "state"}, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (c *stateCollector) Describe(ch chan<- *prometheus.Desc) {
-	ch <- heldDesc
-	ch <- callsD
-	ch <- serversD
-	ch <- peerD
-	ch <- peersD
-	ch <- permitsD
-	ch <- wakesD
+	ch <- budgetTokensDesc
+	ch <- storeCallsDesc
+	ch <- serversDesc
+	ch <- peerBytesDesc
+	ch <- peerCallsDesc
+	ch <- permitsDesc
+	ch <- wakeupsDesc
 }
 
 // Collect implements prometheus.Collector.
 func (c *stateCollector) Collect(ch chan<- prometheus.Metric) {
-	tell := func(d *prometheus.Desc, n int64, labels ...string) {
+	sendGauge := func(d *prometheus.Desc, n int64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(n), labels...)
 	}
 	for account, h := range c.server.budgets.Holdings(nil) {
-		tell(heldDesc, h.Balance, account, "free")
-		tell(heldDesc, h.Reserved, account, "reserved")
-		tell(heldDesc, h.Writing, account, "writing")
+		sendGauge(budgetTokensDesc, h.Balance, account, "free")
+		sendGauge(budgetTokensDesc, h.Reserved, account, "reserved")
+		sendGauge(budgetTokensDesc, h.Writing, account, "writing")
 	}
 	for p, n := range c.server.store.ByPurpose() {
-		ch <- prometheus.MustNewConstMetric(callsD, prometheus.CounterValue, float64(n), p.Kind, string(p.Call))
+		ch <- prometheus.MustNewConstMetric(storeCallsDesc, prometheus.CounterValue, float64(n), p.Kind, string(p.Call))
 	}
 	for method, t := range c.server.peers.ByMethod() {
-		ch <- prometheus.MustNewConstMetric(peerD, prometheus.CounterValue, float64(t.Sent), method, "sent")
-		ch <- prometheus.MustNewConstMetric(peerD, prometheus.CounterValue, float64(t.Received), method, "received")
-		ch <- prometheus.MustNewConstMetric(peersD, prometheus.CounterValue, float64(t.Calls), method)
+		ch <- prometheus.MustNewConstMetric(peerBytesDesc, prometheus.CounterValue, float64(t.Sent), method, "sent")
+		ch <- prometheus.MustNewConstMetric(peerBytesDesc, prometheus.CounterValue, float64(t.Received), method, "received")
+		ch <- prometheus.MustNewConstMetric(peerCallsDesc, prometheus.CounterValue, float64(t.Calls), method)
 	}
 	for purpose, n := range wakeups.Counts() {
-		ch <- prometheus.MustNewConstMetric(wakesD, prometheus.CounterValue, float64(n), purpose.String())
+		ch <- prometheus.MustNewConstMetric(wakeupsDesc, prometheus.CounterValue, float64(n), purpose.String())
 	}
 	permits := c.server.limits.Counts()
 	for outcome, n := range map[string]int64{"granted": permits.Granted, "denied": permits.Denied, "unanswered": permits.Unanswered} {
-		ch <- prometheus.MustNewConstMetric(permitsD, prometheus.CounterValue, float64(n), outcome)
+		ch <- prometheus.MustNewConstMetric(permitsDesc, prometheus.CounterValue, float64(n), outcome)
 	}
 	for service, n := range c.server.servers.Counts() {
-		tell(serversD, int64(n.Up), service, "up")
-		tell(serversD, int64(n.Ejected), service, "ejected")
-		tell(serversD, int64(n.Leaving), service, "leaving")
-		tell(serversD, int64(n.Evacuated), service, "evacuated")
+		sendGauge(serversDesc, int64(n.Up), service, "up")
+		sendGauge(serversDesc, int64(n.Ejected), service, "ejected")
+		sendGauge(serversDesc, int64(n.Leaving), service, "leaving")
+		sendGauge(serversDesc, int64(n.Evacuated), service, "evacuated")
 	}
 }
--- /dev/null
+++ b/server/owner.go
@@ -0,0 +1,53 @@
+package server
+
+import (
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/gaplink/gaplink/clock"
+)
+
+const (
+	// ownerGroups is the number of groups that budgets are divided into; in a large fleet
+	// one router owns each group. With more owners less is lost when one fails, but the
+	// page is written more often.
+	ownerGroups = 6
+	// maxSuccessors is the number of routers besides its owner that may hold tokens of a
+	// budget in a large fleet: those that owned the budget recently.
+	maxSuccessors = 3
+)
+
+// ownerRole returns the role for which routers are ranked to find a budget's owner.
+func ownerRole(budget string) string {
+	return "budgets/" + strconv.FormatUint(xxhash.Sum64String(budget)%ownerGroups, 10)
+}
+
+// ownerOf returns the ID of the router that draws a budget from the store: this router or, in a
+// large fleet, one router for all. That owner is among the routers with the largest links, since
+// the whole fleet calls it, and the store must answer it. The time argument is ignored: it is from
+// the clock of the budgets, whereas the membership view uses package clock.
+func (s *Server) ownerOf(_ time.Time, budget string) string {
+	self := s.settings.Instance.ID
+	if !s.largeFleet() {
+		return self
+	}
+	role := ownerRole(budget)
+	first := s.members.FirstLargest(clock.Now(), role)
+	if first == self && s.storeReachableElsewhere() {
+		if successors := s.successors(role); len(successors) > 0 {
+			return successors[0]
+		}
+	}
+	return first
+}
+
+// successors returns the other routers ranked first for a role, which own the budgets next or
+// owned them before and so may hold tokens.
+func (s *Server) successors(role string) []string {
+	ids := s.members.Largest(clock.Now(), role, maxSuccessors+1)
+	ids = slices.DeleteFunc(ids, func(id string) bool { return id == s.settings.Instance.ID })
+	return ids[:min(len(ids), maxSuccessors)]
+}
--- a/server/provision.go
+++ b/server/provision.go
@@ -28,11 +28,11 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// routersWithin is how long a change of the routers' registrations may take to reach all. No
-// promise rests on it: a router that has gone is noticed by calls.
-const routersWithin = 12 * time.Second
+// routerListBound bounds the propagation of a change in the registrations of routers. Correctness
+// doesn't depend on it: calls to a router that is gone fail.
+const routerListBound = 12 * time.Second
 
-// provision builds the controllers and the gateway.
+// provision creates the controllers and the gateway.
 func (s *Server) provision() {
 	s.store = store.NewCounting(s.platform.Store)
 	s.shares = sockets.Divide(s.settings.Files.Limit)
@@ -43,7 +43,7 @@
 		DialTimeout: s.settings.Servers.DialTimeout.Std(),
 		IdleTimeout: s.settings.Servers.IdleTimeout.Std(),
 		Meter:       s.meter,
-		Congested:   s.link.Full,
+		Congested:   s.link.Congested,
 		MaxOpen:     s.shares.Backends,
 
 		CongestedDialTimeout: congestedDialTimeout,
@@ -57,7 +57,7 @@
 		Servers: s.servers,
 		Fleet:   verdicts.Over{Audience: s.audience(), Client: s.peers},
 		Store:   s.store,
-		Stale:   s.large,
+		Stale:   s.largeFleet,
 		Updated: s.updatedByRelays,
 		Log:     s.log,
 
@@ -68,7 +68,7 @@
 	s.gateway = gateway.New(gateway.Parts{
 		Domain:  s.settings.Instance.Domain,
 		Regions: s.settings.Regions,
-		Config:  knownConfig{s.configs, s},
+		Config:  activeConfig{s.configs, s},
 
 		ConfigBound: s.settings.Bounds.Apply.Std(),
 
@@ -82,9 +82,9 @@
 		Logs:     s.logs,
 		Metrics:  gateway.NewMetrics(s.registry),
 		Routers:  s.roster.Size,
-		Away:     s.away,
-		Full:     s.link.Full,
-		LinkWait: s.linkWait,
+		Away:     s.shedding,
+		Full:     s.link.Congested,
+		LinkWait: s.linkDelay,
 		Stale:    s.stale,
 
 		ServersAge: func() time.Duration { return s.updates.Ages().Servers },
@@ -107,40 +107,40 @@
 		Calls:  updates.Over(s.peers),
 		Self:   s.incarnation,
 		Domain: s.settings.Instance.Domain,
-		Lost:   s.callLost,
+		Lost:   s.lastStoreCallFailed,
 		Fresh:  s.storeFresh,
-		Large:  s.large,
+		Large:  s.largeFleet,
 		Log:    s.log,
 
 		AsOf:       s.storeAsOf,
 		StaleAfter: s.staleAfter,
-		AskEvery:   s.askEvery,
+		AskEvery:   s.updateInterval,
 		Answered:   s.store.Answered,
-		Failed:     s.questionFailed,
+		Failed:     s.peerCallFailed,
 		Timeout:    s.peers.Timeout,
 
 		Took: func(d time.Duration) { s.queue.Observe(clock.Now(), d) },
 	})
-	servers := s.following(s.platform.ServerKind, s.servers, s.settings.Bounds.Leave.Std())
+	servers := s.followerOptions(s.platform.ServerKind, s.servers, s.settings.Bounds.Leave.Std())
 	servers.ReceivedRevision = s.servers.Revision
 	s.followServers = follow.New(servers)
-	configs := s.following(s.platform.ConfigKind, s.configs, s.settings.Bounds.Apply.Std())
+	configs := s.followerOptions(s.platform.ConfigKind, s.configs, s.settings.Bounds.Apply.Std())
 	configs.Prober = s.followServers.Fresh
 	s.followConfigs = follow.New(configs)
-	routers := s.following(roster.Kind, s.roster, routersWithin)
+	routers := s.followerOptions(roster.Kind, s.roster, routerListBound)
 	routers.Role = s.updates.RosterRole
 	routers.ReceivedRevision = s.roster.Revision
 	s.followRouters = follow.New(routers)
 	if within := s.settings.Bounds.Evacuate.Std(); within > 0 {
-		evacuations := s.following(s.platform.EvacuationKind, s.evacuations, within)
+		evacuations := s.followerOptions(s.platform.EvacuationKind, s.evacuations, within)
 		evacuations.Prober = s.followServers.Fresh
 		s.followEvacuations = follow.New(evacuations)
 	}
 }
 
-// following returns the options of a follower of a kind whose changes must count at
-// every router within a time.
-func (s *Server) following(kind string, h follow.Handler, within time.Duration) follow.Options {
+// followerOptions returns the options of a follower of an object kind whose changes must take
+// effect at every router within the given time.
+func (s *Server) followerOptions(kind string, h follow.Handler, within time.Duration) follow.Options {
 	return follow.Options{
 		Store:    s.store,
 		Prefix:   kind,
@@ -158,8 +158,8 @@
 	}
 }
 
-// probeStore asks the store for this router's registration, which is small; that
-// there is none is an answer too.
+// probeStore checks that the store answers, by reading this router's registration, which is
+// small. A missing registration counts as an answer.
 func (s *Server) probeStore(ctx context.Context) error {
 	_, err := store.GetStale(ctx, s.store, roster.Kind+"/"+s.settings.Instance.ID)
 	if errors.Is(err, store.ErrNotFound) {
@@ -168,7 +168,7 @@
 	return err
 }
 
-// provisionPeers builds what concerns the other routers.
+// provisionPeers creates the clients, the membership view and the roster of routers.
 func (s *Server) provisionPeers() {
 	self := peer.Router{
 		ID:          s.settings.Instance.ID,
@@ -177,11 +177,11 @@
 		Incarnation: s.incarnation,
 		LinkMbps:    s.settings.Link.Mbps,
 	}
-	greetings := s.shares.PeersOut / greetingShare
-	s.peers = peer.NewClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: s.shares.PeersOut - greetings})
-	s.greeter = peer.NewGreeter(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: greetings})
+	helloSockets := s.shares.PeersOut / helloSocketsDivisor
+	s.peers = peer.NewClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: s.shares.PeersOut - helloSockets})
+	s.helloClient = peer.NewGreeter(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: helloSockets})
 	s.members = members.New(membership.Member{ID: self.ID, Kind: "router", Addr: self.Addr, Domain: self.Domain, State: membership.Live, LinkMbps: self.LinkMbps}, nil, 0, s.log)
-	s.members.Excuse(s.link.Full)
+	s.members.Excuse(s.link.Congested)
 	s.roster = roster.New(roster.Options{
 		Self:       self,
 		Seeds:      s.seeds,
@@ -189,27 +189,27 @@
 		FirstStart: s.settings.Fleet.FirstStart,
 		Store:      s.store,
 		Members:    s.members,
-		Calls:      roster.Over(s.greeter),
+		Calls:      roster.Over(s.helloClient),
 		Log:        s.log,
 	})
 }
 
-// peerMux offers this router's methods to the others.
+// peerMux returns the handlers of the calls that other routers and operators make.
 func (s *Server) peerMux() *peer.Mux {
 	m := peer.NewMux()
 	peer.Handle(m, peer.MethodHello, s.roster.Hello)
 	peer.Handle(m, peer.MethodUpdates, s.updates.Answer)
 	peer.Handle(m, peer.MethodConfig, s.updates.Config)
 	peer.Handle(m, peer.MethodList, s.updates.List)
-	peer.Handle(m, peer.MethodBudget, s.onBudget)
+	peer.Handle(m, peer.MethodBudget, s.handleBudget)
 	peer.Handle(m, peer.MethodVerdicts, s.verdicts.OnReport)
 	peer.Handle(m, peer.MethodLimits, s.limits.OnReport)
 	peer.Handle(m, peer.MethodPermit, s.limits.OnPermit)
-	peer.Handle(m, peer.MethodAdmin, s.operate)
+	peer.Handle(m, peer.MethodAdmin, s.handleAdmin)
 	return m
 }
 
-func (s *Server) onBudget(_ context.Context, req *peer.BudgetMessage) (*peer.Empty, error) {
+func (s *Server) handleBudget(_ context.Context, req *peer.BudgetMessage) (*peer.Empty, error) {
 	return &peer.Empty{}, s.budgets.Receive(req.Message)
 }
 
@@ -217,28 +217,28 @@
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: s.settings.Instance.ID, Incarnation: s.incarnation}
 	cfg.Pages = 1
-	cfg.Home = s.homeOf
+	cfg.Home = s.ownerOf
 	cfg.HomeHorizon = s.settings.Budgets.Hold.Std()
 	cfg.RefillBelow = s.settings.Budgets.Refill
-	cfg.EntryHorizon = entryHold
-	cfg.EntryLeast = entryLeast
+	cfg.EntryHorizon = entryHorizon
+	cfg.EntryLeast = entryMinRequests
 	cfg.RateWindow = 10 * time.Second
 	cfg.Surplus = 0.25
 	cfg.HeldRequests = 1
 	cfg.LowRequests = 0.5
 	cfg.ScarceWithin = s.settings.Budgets.ScarceWithin.Std()
-	cfg.Routers = s.drawers
-	cfg.StarterShare = starterShare
+	cfg.Routers = s.drawingRouters
+	cfg.StarterShare = initialDrawShare
 	cfg.TailShare = tailShare
 	cfg.TailTime = tailTime
 	cfg.ScarceHorizon = scarceHorizon
 	cfg.CheckEvery = 500 * time.Millisecond
-	cfg.DrawSpacing = drawSpacing
-	cfg.PageSpacing = pageSpacing
+	cfg.DrawSpacing = drawBatchInterval
+	cfg.PageSpacing = pageWriteInterval
 	cfg.DrawTimeout = drawTimeout
 	cfg.Running = s.running
 	cfg.Lenders = s.lenders
-	cfg.StoreLost = s.storeLost
+	cfg.StoreLost = s.storeUnreachable
 	s.escrowConfig(&cfg)
 	return cfg
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,11 +8,11 @@
 	"github.com/gaplink/gaplink/settings"
 )
 
-// Reload takes the settings file as it was read again. What concerns addresses
-// needs a restart; an unreadable file changes nothing.
+// Reload applies settings that were read again. Changed listen addresses take effect only after a
+// restart. If err is not nil, the current settings are kept.
 func (s *Server) Reload(next settings.Gateway, err error) {
 	if err != nil {
-		s.log.Error("settings not usable; the last ones stay in force", zap.Error(err))
+		s.log.Error("invalid settings; keeping the current ones", zap.Error(err))
 		return
 	}
 	s.reloading.Lock()
--- a/server/server.go
+++ b/server/server.go
@@ -1,10 +1,10 @@
-// Package server is the gateway as a library with a life cycle:
+// Package server assembles a router process and runs it from start to planned stop:
 //
 //	s, err := server.New(settings, platform, writer) // provision and validate
 //	err = s.Start()
 //	s.Stop() // a planned stop
 //
-// cmd/gaplink-gateway is a thin daemon over it.
+// cmd/gaplink-gateway is a thin daemon around this package.
 package server
 
 import (
@@ -48,75 +48,76 @@
 )
 
 const (
-	// idleTimeout is how long a caller's unused connection is kept. Callers
-	// give theirs up earlier, by the operator's limit.
+	// idleTimeout is how long an idle caller connection is kept open. It exceeds the
+	// operator's idle limit, by which callers close their connections.
 	idleTimeout = 60 * time.Second
-	// headerTimeout bounds the arrival of a request's head.
+	// headerTimeout bounds the time to receive the headers of a request.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes is above every limit that an operator sets for callers.
+	// maxHeaderBytes exceeds every header limit that an operator sets for callers.
 	maxHeaderBytes = 64 << 10
-	// returnReserve is kept of the grace time for returning what cut requests
-	// leave of the budgets: two writes at a store that is slow.
+	// returnReserve is the part of the grace period reserved for returning tokens of
+	// interrupted requests to the store: two writes to a slow store.
 	returnReserve = time.Second
-	// exitReserve is kept of the grace time for the end of the process.
+	// exitReserve is the part of the grace period reserved for process exit.
 	exitReserve = 300 * time.Millisecond
-	// collectAt makes the garbage collector run when the heap has grown by this
-	// percentage: memory at its peak costs more than processor time.
-	collectAt = 50
-	// retryShare is the part of the operator's bound on repeats that the
-	// routers plan with; the rest covers uneven shares and restarts.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection. It
+	// is below Go's default because peak memory costs more than CPU time.
+	gcPercent = 50
+	// retryShare is the fraction of the operator's retry limit that the routers use;
+	// the rest covers uneven load and restarts.
 	retryShare = 0.8
-	// leastRouters is the size of fleet assumed before the others are met, when
-	// shares of what the fleet may do together are worked out.
-	leastRouters = 6
-	// tailShare and tailTime keep the last two hundredth of a budget for a quarter
-	// of a minute of small requests: that still serves a few in a hundred when most
-	// budgets are spent. A fiftieth served no more and left accounts refused with
-	// tokens lying still.
+	// minRouters is the smallest fleet size assumed when a fleet-wide limit is divided
+	// among routers, since a starting router does not know the others yet.
+	minRouters = 6
+	// tailShare and tailTime reserve the last 1/200 of a budget for 15 seconds of small
+	// requests, which still serves a few percent of the requests when most budgets are
+	// spent. A share of 1/50 served no more requests and left accounts refused while
+	// tokens were unused.
 	tailShare = 0.005
 	tailTime  = 15 * time.Second
-	// starterShare is the part of a budget that is drawn before its first request:
-	// about a dozen requests of a large account.
-	starterShare = 0.01
-	// scarceHorizon is how much demand the store must have left for tokens not to
-	// be scarce. Routers that hold none ahead while they are meet an outage of the
-	// store with nothing.
+	// initialDrawShare is the fraction of a budget that is drawn before its first
+	// request: about a dozen requests of a large account.
+	initialDrawShare = 0.01
+	// scarceHorizon is the time for which the tokens left in the store must cover the
+	// demand; below it they count as scarce. Routers hold no spare tokens while tokens
+	// are scarce, so a larger value would leave them without any in a store outage.
 	scarceHorizon = 2 * time.Second
-	// entryHold is how much demand a router holds that does not draw from the
-	// store itself, and entryLeast how many requests that must be: a router that
-	// has fewer asks the home for each. With 87 routers and 24 budgets nearly all
-	// have fewer, and the holds of all of them would be a quarter of the budgets.
-	entryHold  = 3 * time.Second
-	entryLeast = 4
-	// drawTimeout is how long a home that has taken a question for tokens may
-	// leave it open before it is passed over. It may be waiting for a slow store;
-	// one that is dead is noticed by the message itself.
+	// entryHorizon is the time of demand for which a router that is not the budget's
+	// owner holds tokens, and entryMinRequests the least number of requests that this
+	// must cover: a router with fewer asks the owner for each request. With 87 routers
+	// and 24 budgets nearly all have fewer, and tokens held by all of them would add up
+	// to a quarter of the budgets.
+	entryHorizon     = 3 * time.Second
+	entryMinRequests = 4
+	// drawTimeout is how long the owner of a budget may take to answer a request for
+	// tokens that it has received before another router is asked. The owner may be
+	// waiting for a slow store; if it is dead, sending the message fails.
 	drawTimeout = 1500 * time.Millisecond
-	// peerDialTimeout bounds a connection to another router.
+	// peerDialTimeout bounds opening a connection to another router.
 	peerDialTimeout = 200 * time.Millisecond
-	// pageSpacing is the least time between two writes of the budgets that nobody
-	// waits for. Each is a priced call, and mostly a second one, since another router
-	// has written meanwhile; what is held lasts far longer.
-	pageSpacing = 2 * time.Second
-	// drawSpacing is how long a home gathers draws of others between two writes.
-	drawSpacing = 100 * time.Millisecond
+	// pageWriteInterval is the minimum time between two budget page writes that no
+	// request waits for. Each write is a billed store call, and usually needs a second
+	// one because another router has written in between; held tokens last far longer.
+	pageWriteInterval = 2 * time.Second
+	// drawBatchInterval is how long the owner of a budget collects draws of other
+	// routers between two writes.
+	drawBatchInterval = 100 * time.Millisecond
 )
 
-// Platform is what a deployment gives the gateway.
+// Platform holds the parts that a deployment supplies.
 type Platform struct {
 	Store    store.Store
 	Protocol exchange.Protocol
-	// ReadyPath is asked by the balancer.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
-	// ConfigKind and ConfigKey say where the configuration is stored, ServerKind
-	// where backend servers register, and EvacuationKind where evacuated failure
-	// domains are named.
+	// ConfigKind and ConfigKey locate the configuration in the store, ServerKind the
+	// registrations of backend servers, and EvacuationKind the evacuated failure domains.
 	ConfigKind, ConfigKey, ServerKind, EvacuationKind string
 	DecodeConfig                                      configs.Decode
 	DecodeServer                                      registry.Decode
 }
 
-// Server is one gateway process. Use New.
+// Server is one router process. Create it with New.
 type Server struct {
 	settings    settings.Gateway
 	platform    Platform
@@ -124,9 +125,9 @@
 	log         *zap.Logger
 	writer      *logs.Writer
 	incarnation string
-	// begun is when the process was built.
-	begun time.Time
-	// boot identifies the boot of the machine; empty if it is not known.
+	// startedAt is when New was called.
+	startedAt time.Time
+	// boot is the boot ID of the machine; empty if unknown.
 	boot string
 
 	store    *store.Counting
@@ -140,15 +141,15 @@
 	meter    *link.Meter
 	link     linkState
 	queue    link.Queue
-	// shares are how many sockets each purpose may have open, and callerLimit how many callers
-	// may by the memory too.
+	// shares holds the maximum number of open sockets per purpose; callerLimit is the maximum
+	// number of caller connections, bounded by memory as well.
 	shares      sockets.Shares
 	callerLimit int
-	// callerSide and peerSide are where callers and other routers connect; nil before Start.
-	callerSide, peerSide *sockets.Listener
-	greeter              *peer.Client
-	descriptors          *descriptors
-	registry             *prometheus.Registry
+	// callerListener and peerListener accept callers and other routers; nil before Start.
+	callerListener, peerListener *sockets.Listener
+	helloClient                  *peer.Client
+	descriptors                  *descriptors
+	registry                     *prometheus.Registry
 
 	members       *members.Controller
 	peers         *peer.Client
@@ -160,7 +161,7 @@
 	followRouters *follow.Follower
 
 	evacuations *evacuations.Controller
-	// followEvacuations is nil where the platform knows none.
+	// followEvacuations is nil if evacuations are not configured.
 	followEvacuations *follow.Follower
 
 	callers  *http.Server
@@ -172,65 +173,66 @@
 	reloading sync.Mutex
 }
 
-// New builds a server from checked settings. It binds no address and starts
-// nothing.
+// New creates a server from validated settings. It binds no address and starts no
+// goroutine of its own.
 func New(s settings.Gateway, p Platform, w *logs.Writer) (*Server, error) {
 	level, err := zapcore.ParseLevel(s.Log.Level)
 	if err != nil {
 		return nil, result.New(result.BadSettings, "log.level: %v", err)
 	}
-	both := logs.New(w, level)
+	loggers := logs.New(w, level)
 	srv := &Server{
 		settings:    s,
 		platform:    p,
-		logs:        both,
-		log:         both.All,
+		logs:        loggers,
+		log:         loggers.All,
 		writer:      w,
 		incarnation: s.Instance.ID + "/" + uuid.NewString()[:8],
 		registry:    prometheus.NewRegistry(),
 		stopping:    make(chan struct{}),
-		begun:       clock.Now(),
+		startedAt:   clock.Now(),
 	}
 	srv.provision()
 	return srv, nil
 }
 
-// drawers returns the number of routers that draw each budget from the store.
-func (s *Server) drawers() int {
-	if s.large() {
+// drawingRouters returns the number of routers that draw each budget from the store.
+func (s *Server) drawingRouters() int {
+	if s.largeFleet() {
 		return 1
 	}
 	return s.roster.Size()
 }
 
-// large tells whether the fleet is so large, or may be, that few routers speak with the store for
-// the others. With fewer routers each draws budgets from the store for itself, so that little is
-// lost with one; with more, their conditional updates of the same page would mostly conflict.
-func (s *Server) large() bool { return s.roster.IsLarge() }
+// largeFleet reports whether the fleet is, or may be, so largeFleet that a few routers access the store
+// on behalf of the others. In a small fleet each router draws budgets from the store for itself, so
+// that little is lost when one fails; in a largeFleet fleet most conditional updates of the same page
+// would conflict.
+func (s *Server) largeFleet() bool { return s.roster.IsLarge() }
 
-// relayIDs returns the routers that update the others in a large fleet; nil in a small one.
+// relayIDs returns the IDs of the relays of a large fleet; nil in a small fleet.
 func (s *Server) relayIDs() []string {
-	if !s.large() {
+	if !s.largeFleet() {
 		return nil
 	}
 	return s.updates.RelayIDs()
 }
 
-// updatedByRelays tells whether this router gets the updates of a large fleet from relays.
-func (s *Server) updatedByRelays() bool { return s.large() && !s.updates.UpdatesOthers() }
+// updatedByRelays reports whether this router receives updates from relays.
+func (s *Server) updatedByRelays() bool { return s.largeFleet() && !s.updates.UpdatesOthers() }
 
-// seeds returns the addresses of other routers as the settings name them now.
+// seeds returns the seed addresses of the current settings.
 func (s *Server) seeds() []string { return s.current().Fleet.Seeds }
 
-// current returns the settings as they were last read.
+// current returns the settings as last loaded.
 func (s *Server) current() settings.Gateway {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
 	return s.settings
 }
 
-// callLost tells whether the store did not answer this router's last call.
-func (s *Server) callLost() bool {
+// lastStoreCallFailed reports whether the store left this router's last call unanswered.
+func (s *Server) lastStoreCallFailed() bool {
 	for _, f := range s.followers() {
 		if f.Lost() {
 			return true
@@ -239,11 +241,11 @@
 	return false
 }
 
-// storeLost tells whether the store does not answer this router, or those that
-// watch it for the fleet.
-func (s *Server) storeLost() bool { return s.updates.StoreLost() }
+// storeUnreachable reports whether the store does not answer this router or, in a large
+// fleet, its relays.
+func (s *Server) storeUnreachable() bool { return s.updates.StoreLost() }
 
-// storeFresh tells whether what this router knows from the store is the newest.
+// storeFresh reports whether this router's copies of all followed objects are current.
 func (s *Server) storeFresh() bool {
 	for _, f := range s.followers() {
 		if !f.Fresh() {
@@ -253,16 +255,16 @@
 	return true
 }
 
-// storeAsOf tells up to when the store itself has told this router all changes.
+// storeAsOf returns the times up to which this router has read all changes from the store itself.
 func (s *Server) storeAsOf() updates.Timestamps {
-	m := updates.Timestamps{Config: s.followConfigs.AsOf(), Servers: s.followServers.AsOf()}
+	t := updates.Timestamps{Config: s.followConfigs.AsOf(), Servers: s.followServers.AsOf()}
 	if s.followEvacuations != nil {
-		m.Evacuated = s.followEvacuations.AsOf()
+		t.Evacuated = s.followEvacuations.AsOf()
 	}
-	return m
+	return t
 }
 
-// followers are the followers of the kinds whose age is bounded.
+// followers returns the followers of the object kinds that have a staleness bound.
 func (s *Server) followers() []*follow.Follower {
 	all := []*follow.Follower{s.followConfigs, s.followServers}
 	if s.followEvacuations != nil {
@@ -271,26 +273,27 @@
 	return all
 }
 
-// storeElsewhere tells whether the store does not answer this router but
-// another one.
-func (s *Server) storeElsewhere() bool { return s.storeLost() && s.updates.RecentlyUpdated() }
+// storeReachableElsewhere reports whether the store answers another router but not this one.
+func (s *Server) storeReachableElsewhere() bool {
+	return s.storeUnreachable() && s.updates.RecentlyUpdated()
+}
 
-// retryBurst is this router's share of the repeats beyond the ratio.
+// retryBurst returns this router's share of the retries allowed beyond the retry ratio.
 func (s *Server) retryBurst() float64 {
-	return s.current().Retries.Slack * retryShare / float64(max(s.roster.Size(), leastRouters))
+	return s.current().Retries.Slack * retryShare / float64(max(s.roster.Size(), minRouters))
 }
 
-// knownConfig is the configuration in force with its age.
-type knownConfig struct {
+// activeConfig is the configuration in force, with its age.
+type activeConfig struct {
 	*configs.Controller
 	server *Server
 }
 
 // Age implements gateway.Config.
-func (k knownConfig) Age() time.Duration { return k.server.updates.Ages().Config }
+func (k activeConfig) Age() time.Duration { return k.server.updates.Ages().Config }
 
-// configChanged hands the budgets of a new configuration on before it is in
-// force.
+// configChanged applies the budget limits and warm-up rates of a new configuration before
+// the configuration takes effect.
 func (s *Server) configChanged(c *catalog.Catalog) {
 	limits := map[string]budget.Limit{}
 	for _, a := range c.Accounts {
@@ -302,11 +305,10 @@
 	s.servers.SetWarmups(warmups(c))
 }
 
-// Start binds the addresses and starts serving. A server that finds no store
-// starts all the same and refuses requests as "not run" until it knows a
-// configuration.
+// Start binds the addresses and starts serving. It does not require the store: without it the
+// server rejects requests as "not run" until it has received a configuration.
 func (s *Server) Start() error {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(s.settings.Memory.LimitMB << 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -325,34 +327,34 @@
 	if err := s.listen(s.settings.Listen.Ready, s.ready, s.boundChecks); err != nil {
 		return err
 	}
-	peerSide, err := net.Listen("tcp", s.settings.Listen.Peers)
+	listener, err := net.Listen("tcp", s.settings.Listen.Peers)
 	if err != nil {
 		return trace.Wrap(err, "listening at %s", s.settings.Listen.Peers)
 	}
-	s.peerSide = sockets.BoundEvicting(peerSide, s.shares.PeersIn)
-	s.peerSide.Failed = s.descriptors.failed
+	s.peerListener = sockets.BoundEvicting(listener, s.shares.PeersIn)
+	s.peerListener.Failed = s.descriptors.handleError
 	if err := s.serveMetrics(); err != nil {
 		return err
 	}
 	go func() {
-		if err := peer.Serve(ctx, s.peerSide, s.peerMux()); err != nil && ctx.Err() == nil {
-			s.log.Error("listener ended", zap.String("address", s.settings.Listen.Peers), zap.Error(err))
+		if err := peer.Serve(ctx, s.peerListener, s.peerMux()); err != nil && ctx.Err() == nil {
+			s.log.Error("listener failed", zap.String("address", s.settings.Listen.Peers), zap.Error(err))
 		}
 	}()
 	go s.roster.Run(ctx)
 	go s.followStore(ctx)
 	go s.budgets.Run(ctx)
 	if !clock.Known() {
-		s.log.Warn("the kernel does not tell for how long the machine was suspended; ages leave that out")
+		s.log.Warn("kernel does not report suspend time; ages exclude it")
 	}
-	go s.runBeats(ctx)
+	go s.runTicks(ctx)
 	s.log.Info("started", zap.String("boot", s.boot), zap.String("instance", s.settings.Instance.ID), zap.String("incarnation", s.incarnation),
 		zap.String("domain", s.settings.Instance.Domain), zap.String("callers", s.settings.Listen.Callers))
 	return nil
 }
 
-// followStore follows the store, or those that do, once this router has met the
-// others: how much it asks the store for depends on how many they are.
+// followStore starts following the store or the relays once this router knows the others:
+// how often it queries the store depends on the size of the fleet.
 func (s *Server) followStore(ctx context.Context) {
 	select {
 	case <-s.roster.Introduced():
@@ -368,7 +370,7 @@
 	s.updates.Run(ctx)
 }
 
-// listen serves h at addr; bound may bound the connections.
+// listen serves h at addr; bound wraps the listener to limit its connections.
 func (s *Server) listen(addr string, h *http.Server, bound func(net.Listener) net.Listener) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -377,16 +379,16 @@
 	l = s.meter.Listener(bound(l))
 	go func() {
 		if err := h.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			s.log.Error("listener ended", zap.String("address", addr), zap.Error(err))
+			s.log.Error("listener failed", zap.String("address", addr), zap.Error(err))
 		}
 	}()
 	return nil
 }
 
-// away tells whether callers should go to other routers for a while.
-func (s *Server) away() bool { return s.link.Away() || s.crowded() }
+// shedding reports whether new connections should go to other routers for a while.
+func (s *Server) shedding() bool { return s.link.Shedding() || s.aboveHighWatermark() }
 
-// answerReady tells the balancer whether to send connections here.
+// answerReady answers the load balancer's readiness check.
 func (s *Server) answerReady(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path != s.platform.ReadyPath:
@@ -398,12 +400,12 @@
 	}
 }
 
-// Ready tells whether the server takes new connections.
+// Ready reports whether the server should receive new connections.
 func (s *Server) Ready() bool {
 	select {
 	case <-s.stopping:
 		return false
 	default:
-		return s.configs.Catalog() != nil && s.servers.Ready() && !s.away() && !s.stale()
+		return s.configs.Catalog() != nil && s.servers.Ready() && !s.shedding() && !s.stale()
 	}
 }
--- a/server/sockets.go
+++ b/server/sockets.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// greetingShare is the part, one in so many, of the sockets to other routers that greetings
-	// may take.
-	greetingShare = 4
-	// connectionBytes is the memory that a caller's connection takes with its buffers and what
-	// has arrived and is not read.
+	// helloSocketsDivisor is the inverse of the fraction of outgoing peer sockets reserved for
+	// Hello calls.
+	helloSocketsDivisor = 4
+	// connectionBytes is the memory of one caller connection, including its buffers and data
+	// received but not yet read.
 	connectionBytes = 48 << 10
-	// connectionMemory is the part of the process's memory that callers' connections may take.
+	// connectionMemory is the fraction of the memory limit that caller connections may use.
 	connectionMemory = 0.5
-	// crowdedAt is the part of the allowed connections from which the router takes no new ones
-	// and closes those that it has answered: callers that it cannot serve in time do better
-	// elsewhere.
-	crowdedAt = 0.7
-	// socketLinesEvery is the least time between two log lines about sockets that could not be
+	// callerHighWatermark is the fraction of the allowed caller connections from which the router
+	// reports itself as not ready and closes connections after their response: it could not serve
+	// more callers in time.
+	callerHighWatermark = 0.7
+	// socketLogInterval is the minimum time between two log lines about sockets that could not be
 	// opened.
-	socketLinesEvery = time.Second
+	socketLogInterval = time.Second
 )
 
-// callerLimit returns how many connections callers may have open: by the process's memory, and by
-// their share of its descriptors; a share of 0 is not known.
+// callerLimit returns the maximum number of caller connections, by the memory limit in MB and by
+// the callers' share of the file descriptors; a share of 0 is unknown and sets no limit.
 func callerLimit(memoryMB int64, share int) int {
 	limit := int(connectionMemory * float64(memoryMB<<20) / connectionBytes)
 	if share > 0 {
@@ -42,56 +42,56 @@
 	return limit
 }
 
-// crowded tells whether the router should get no new connections of callers.
-func (s *Server) crowded() bool {
-	return float64(s.callerSide.Open()) >= crowdedAt*float64(s.callerLimit)
+// aboveHighWatermark reports whether too many caller connections are open to accept more.
+func (s *Server) aboveHighWatermark() bool {
+	return float64(s.callerListener.Open()) >= callerHighWatermark*float64(s.callerLimit)
 }
 
-// boundCallers bounds the connections of callers.
+// boundCallers limits the connections of callers.
 func (s *Server) boundCallers(l net.Listener) net.Listener {
 	b := sockets.Bound(l, s.callerLimit)
-	b.Failed = s.descriptors.failed
-	s.callerSide = b
+	b.Failed = s.descriptors.handleError
+	s.callerListener = b
 	return b
 }
 
-// boundChecks bounds the connections of readiness checks and of metrics readers.
+// boundChecks limits the connections of readiness checks and of metrics scrapes.
 func (s *Server) boundChecks(l net.Listener) net.Listener {
 	return sockets.BoundEvicting(l, s.shares.Checks)
 }
 
-// openSockets is how many sockets are open, by purpose.
+// openSockets holds the number of open sockets per purpose.
 type openSockets struct{ callers, backends, peersIn, peersOut int64 }
 
 func (s *Server) openSockets() openSockets {
 	return openSockets{
-		callers: s.callerSide.Open(), backends: int64(s.pool.Open()),
-		peersIn: s.peerSide.Open(), peersOut: s.peers.Open() + s.greeter.Open(),
+		callers: s.callerListener.Open(), backends: int64(s.pool.Open()),
+		peersIn: s.peerListener.Open(), peersOut: s.peers.Open() + s.helloClient.Open(),
 	}
 }
 
-// descriptors logs when the process has no descriptor left.
+// descriptors logs file descriptor exhaustion, at a limited rate.
 type descriptors struct {
 	open  func() openSockets
 	log   *zap.Logger
 	lines logs.Sparse
 }
 
-// failed takes an error of opening or accepting a connection.
-func (d *descriptors) failed(err error) {
+// handleError logs an error of opening or accepting a connection if no file descriptor was left.
+func (d *descriptors) handleError(err error) {
 	if !errors.Is(err, syscall.EMFILE) {
 		return
 	}
-	leftOut, due := d.lines.Due(clock.Now(), socketLinesEvery)
+	suppressed, due := d.lines.Due(clock.Now(), socketLogInterval)
 	if !due {
 		return
 	}
 	o := d.open()
 	d.log.Warn("no descriptor left", zap.Int64("callers", o.callers), zap.Int64("backends", o.backends),
-		zap.Int64("peers_in", o.peersIn), zap.Int64("peers_out", o.peersOut), zap.Int64("lines_left_out", leftOut), zap.Error(err))
+		zap.Int64("peers_in", o.peersIn), zap.Int64("peers_out", o.peersOut), zap.Int64("lines_left_out", suppressed), zap.Error(err))
 }
 
-// registerSockets registers the open sockets and their shares.
+// registerSockets registers the metrics of open and allowed sockets.
 func (s *Server) registerSockets() {
 	for purpose, p := range map[string]struct {
 		share int
--- a/server/sockets_test.go
+++ b/server/sockets_test.go
@@ -19,14 +19,14 @@
 	"github.com/gaplink/gaplink/upstream"
 )
 
-// Guards against a share that an operator cannot see, or one that is shown under another purpose.
+// Guards against a share that is missing from the metrics or has the wrong purpose label.
 func TestSocketsAndTheirSharesAreShown(t *testing.T) {
 	s := &Server{
 		registry:    prometheus.NewRegistry(),
 		shares:      sockets.Shares{Callers: 40, Backends: 30, PeersIn: 20, PeersOut: 10},
 		callerLimit: callerLimit(4096, 40),
 		pool:        upstream.New(upstream.Options{}),
-		peers:       peer.NewClient(peer.Options{}), greeter: peer.NewGreeter(peer.Options{}),
+		peers:       peer.NewClient(peer.Options{}), helloClient: peer.NewGreeter(peer.Options{}),
 	}
 	s.registerSockets()
 	families, err := s.registry.Gather()
@@ -49,22 +49,22 @@
 	}
 }
 
-// Guards against a log that is flooded by a process without descriptors, and against lines about
-// other errors.
-func TestMissingDescriptorsAreLoggedSeldom(t *testing.T) {
+// Guards against flooding the log when the process is out of file descriptors, and against logging
+// other errors as such.
+func TestDescriptorExhaustionIsLoggedAtALimitedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
 		d := &descriptors{open: func() openSockets { return openSockets{callers: 7, peersOut: 3} }, log: zap.New(core)}
 		none := fmt.Errorf("accepting: %w", &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
-		d.failed(os.NewSyscallError("connect", syscall.ECONNREFUSED))
+		d.handleError(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 		if lines.Len() != 0 {
 			t.Error("another error is logged")
 		}
 		for range 50 {
-			d.failed(none)
+			d.handleError(none)
 		}
 		time.Sleep(2 * time.Second)
-		d.failed(none)
+		d.handleError(none)
 		if lines.Len() != 2 {
 			t.Fatalf("%d lines", lines.Len())
 		}
--- a/server/stale.go
+++ b/server/stale.go
@@ -7,68 +7,70 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// stale tells whether a request sent now could go by servers, a configuration or evacuations that
-// are older than the operator's bounds, although another router or the store may know better.
+// stale reports whether a request sent now might be routed by servers, a configuration or
+// evacuations older than the operator's bounds while another router or the store may have newer
+// ones.
 func (s *Server) stale() bool {
 	bounds := peer.Ages{
 		Config:    s.settings.Bounds.Apply.Std(),
 		Servers:   s.settings.Bounds.Leave.Std(),
 		Evacuated: s.settings.Bounds.Evacuate.Std(),
 	}
-	age, outdated := outdated(s.updates.Ages(), bounds, s.linkWait())
+	age, outdated := outdated(s.updates.Ages(), bounds, s.linkDelay())
 	if !outdated {
 		return false
 	}
-	return situation{
+	return staleness{
 		busy:         s.link.Busy(),
-		asked:        s.hasAskedSince(age),
+		unanswered:   s.unansweredSince(age),
 		lostAtRelays: s.updates.StoreLostAtRelays(),
 	}.stale()
 }
 
-// outdated tells whether a kind of objects is older than its bound by the time that a request
-// has waited at the link, and the least age of those that are. A bound of 0 holds always.
-func outdated(ages, bounds peer.Ages, wait time.Duration) (least time.Duration, is bool) {
+// outdated reports whether a kind of objects exceeds its bound once a request has waited at the
+// link, and returns the least age of those that do. A bound of 0 is never exceeded.
+func outdated(ages, bounds peer.Ages, wait time.Duration) (leastAge time.Duration, exceeded bool) {
 	for _, kind := range []struct{ age, bound time.Duration }{
 		{ages.Config, bounds.Config}, {ages.Servers, bounds.Servers}, {ages.Evacuated, bounds.Evacuated},
 	} {
 		if kind.bound == 0 || kind.age != peer.Unheard && kind.age+wait <= kind.bound {
 			continue
 		}
-		if !is || least == peer.Unheard || kind.age != peer.Unheard && kind.age < least {
-			least = kind.age
+		if !exceeded || leastAge == peer.Unheard || kind.age != peer.Unheard && kind.age < leastAge {
+			leastAge = kind.age
 		}
-		is = true
+		exceeded = true
 	}
-	return least, is
+	return leastAge, exceeded
 }
 
-// hasAskedSince tells whether this router has asked the store and the other routers since what
-// it knows had an age of 0, and none answered.
-func (s *Server) hasAskedSince(age time.Duration) bool {
+// unansweredSince reports whether this router has called both the store and the other routers since
+// its data of the given age was current, and got no answer.
+func (s *Server) unansweredSince(age time.Duration) bool {
 	var known time.Time
 	if age != peer.Unheard {
 		known = clock.Now().Add(-age)
 	}
-	return s.callLost() && (s.link.HasAskedSince(known) || s.isAlone())
+	return s.lastStoreCallFailed() && (s.link.UnansweredSince(known) || s.isAlone())
 }
 
-// isAlone tells whether this router knows no other one.
+// isAlone reports whether this router knows no other router.
 func (s *Server) isAlone() bool { return len(s.members.Members()) == 1 }
 
-// situation is that of a router whose knowledge is outdated.
-type situation struct {
-	// busy: its link is full, its processor time or its descriptors are used up, or it was
-	// paused just now, so that silence says nothing of the others.
+// staleness describes a router whose data exceeds a staleness bound.
+type staleness struct {
+	// busy is set if the link is congested, CPU time or file descriptors are exhausted, or the
+	// process was paused just now, so that missing answers say nothing about the others.
 	busy bool
-	// asked: it has asked all others since, and got no answer.
-	asked bool
-	// lostAtRelays: it hears others, which say that the store answers none of them.
+	// unanswered is set if calls to the store and the other routers since then got no answer.
+	unanswered bool
+	// lostAtRelays is set if other routers report that the store answers none of them.
 	lostAtRelays bool
 }
 
-// stale tells whether callers are better off elsewhere. A router that is cut off, or hears that
-// all are, knows as little, but others know no more, and it may be all that its callers reach.
-func (s situation) stale() bool {
-	return !s.lostAtRelays && (s.busy || !s.asked)
+// stale reports whether callers should use another router. A router that is partitioned from the
+// store and all others, or learns that the store answers none of them, goes on serving: the others
+// have no newer data, and it may be the only router that its callers reach.
+func (s staleness) stale() bool {
+	return !s.lostAtRelays && (s.busy || !s.unanswered)
 }
--- a/server/stale_test.go
+++ b/server/stale_test.go
@@ -7,28 +7,28 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Guards against a router that goes by old knowledge although others may know better, and
-// against one that refuses all callers although none does.
-func TestRouterIsStaleWhileOthersMayKnowBetter(t *testing.T) {
+// Guards against a router that uses stale data although others may have newer data, and against one
+// that rejects all callers although no other has.
+func TestRouterIsStaleWhileOthersMayHaveNewerData(t *testing.T) {
 	for name, c := range map[string]struct {
-		situation
+		staleness
 		stale bool
 	}{
-		"has not asked yet":             {situation{}, true},
-		"cut off":                       {situation{asked: true}, false},
-		"all are cut off":               {situation{lostAtRelays: true}, false},
-		"busy":                          {situation{busy: true}, true},
-		"busy, questions without reply": {situation{busy: true, asked: true}, true},
-		"busy while all are cut off":    {situation{busy: true, lostAtRelays: true}, false},
+		"has not asked yet":             {staleness{}, true},
+		"cut off":                       {staleness{unanswered: true}, false},
+		"all are cut off":               {staleness{lostAtRelays: true}, false},
+		"busy":                          {staleness{busy: true}, true},
+		"busy, questions without reply": {staleness{busy: true, unanswered: true}, true},
+		"busy while all are cut off":    {staleness{busy: true, lostAtRelays: true}, false},
 	} {
-		if got := c.situation.stale(); got != c.stale {
+		if got := c.staleness.stale(); got != c.stale {
 			t.Errorf("%s: stale %v", name, got)
 		}
 	}
 }
 
-// Guards against a kind of objects that no bound is held for, and against a bound that forgets
-// what a request waits at the link.
+// Guards against a kind of objects whose bound is not enforced, and against a bound that leaves out
+// the queueing delay of a request at the link.
 func TestEachKindHasItsBound(t *testing.T) {
 	bounds := peer.Ages{Config: 4 * time.Second, Servers: 3 * time.Second, Evacuated: 2 * time.Second}
 	known := peer.Ages{Config: time.Second, Servers: time.Second, Evacuated: time.Second}
--- a/server/stop.go
+++ b/server/stop.go
@@ -9,13 +9,13 @@
 	"github.com/gaplink/gaplink/clock"
 )
 
-// Stop is a planned stop: it tells the balancer, goes on serving until that
-// has noticed, returns what it holds of the budgets while running requests
-// finish, and cuts those that do not within the grace time.
+// Stop shuts the server down gracefully. It fails readiness checks, keeps serving until the load
+// balancer has noticed, returns its tokens while running requests finish, and aborts the requests
+// that are still running at the end of the grace period.
 func (s *Server) Stop() {
-	begun := clock.Now()
+	start := clock.Now()
 	planned := s.current().Stop
-	end := begun.Add(planned.Grace.Std())
+	end := start.Add(planned.Grace.Std())
 	s.log.Info("stopping", zap.Int64("in_flight", s.gateway.InFlight()))
 	close(s.stopping)
 	s.gateway.Leave()
@@ -23,7 +23,7 @@
 	s.gateway.Refuse()
 	s.budgets.StartClose()
 	s.drain(end.Add(-returnReserve))
-	cut := s.gateway.InFlight()
+	aborted := s.gateway.InFlight()
 	s.closeCallers()
 	ctx, cancel := context.WithTimeout(context.Background(), clock.Until(end.Add(-exitReserve)))
 	defer cancel()
@@ -31,32 +31,31 @@
 	s.roster.Leave(ctx)
 	s.cancel()
 	s.log.Info("store calls", zap.Stringer("calls", storeCalls(s.store.ByPurpose())))
-	s.log.Info("stopped", zap.Int64("cut", cut), zap.Duration("after_ms", clock.Since(begun)))
+	s.log.Info("stopped", zap.Int64("cut", aborted), zap.Duration("after_ms", clock.Since(start)))
 	_ = s.writer.Sync()
 }
 
-// lastBytes is how long a stop waits until what handlers have left in the buffers of
-// net/http, some kilobytes of each answer, is sent. It comes out of the reserve for
-// returning budgets, most of which is left.
-const lastBytes = 200 * time.Millisecond
+// flushTimeout bounds the wait at a stop for response data still in the buffers of net/http, some
+// kilobytes per response. It is part of the reserve for returning budgets, most of which is left.
+const flushTimeout = 200 * time.Millisecond
 
-// closeCallers closes the connections of callers, those without an answer on its way
-// at once and the others when it is sent.
+// closeCallers closes caller connections: idle ones at once, the others when their response is sent
+// or flushTimeout has passed.
 func (s *Server) closeCallers() {
-	ctx, cancel := context.WithTimeout(context.Background(), lastBytes)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := s.callers.Shutdown(ctx); err != nil {
-		s.log.Info("callers cut", zap.Error(err))
+		s.log.Info("caller connections closed before their responses were sent", zap.Error(err))
 	}
-	_ = s.callers.Close() // those that are left; its error is one of closing them
+	_ = s.callers.Close() // closes the remaining connections; an error closing them is harmless
 }
 
-// drain waits until no request runs, or the time has come.
+// drain waits until no request is in flight or the given time is reached.
 func (s *Server) drain(until time.Time) {
 	for s.gateway.InFlight() > 0 && clock.Now().Before(until) {
-		time.Sleep(stopPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// stopPoll is how often a stopping server looks whether requests still run.
-const stopPoll = 20 * time.Millisecond
+// drainPollInterval is how often drain checks for requests in flight.
+const drainPollInterval = 20 * time.Millisecond
