--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin carries out operators' commands. Any router takes them, since
-// none is set aside for control; gaplinkctl sends them over drpc.
+// Package admin executes operators' commands, which gaplinkctl sends over drpc. Every
+// router accepts them, since there is no separate control node.
 package admin
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// keyBytes is the length of a generated key.
+// keyBytes is the number of random bytes in a generated key.
 const keyBytes = 24
 
 // Server answers operators' commands.
@@ -44,38 +44,39 @@
 	commands map[string]command
 }
 
-// command carries out one command of an operator.
+// command executes one operator command with JSON arguments.
 type command func(ctx context.Context, operator string, args []byte) (any, error)
 
-// New returns a server that accepts the operators' key with that hash.
+// New returns a server that accepts the operator key with the hash keyHash. pages and shards are
+// the numbers of budget pages and ledger shards.
 func New(keyHash string, pages, shards int, s store.Store, m *members.Controller, t *tables.Controller, b *budgets.Controller, v *verdicts.Controller, p *peer.Client) *Server {
 	srv := &Server{keyHash: keyHash, pages: pages, shards: shards, store: s, members: m, tables: t, budgets: b, verdicts: v, peers: p}
 	srv.commands = map[string]command{
-		AccountCreate: typed(srv.accountCreate),
-		AccountKey:    typed(srv.accountKey),
-		AccountList:   typed(srv.accountList),
-		BudgetCreate:  typed(srv.budgetCreate),
-		BudgetTopUp:   typed(srv.budgetTopUp),
-		BudgetShow:    typed(srv.budgetShow),
-		BudgetClose:   typed(srv.budgetClose),
-		PoolSet:       typed(srv.poolSet),
-		PoolList:      typed(srv.poolList),
-		PoolDelete:    typed(srv.poolDelete),
-		TableGet:      typed(srv.tableGet),
-		TableSet:      typed(srv.tableSet),
-		TableApply:    typed(srv.tableApply),
-		Audit:         typed(srv.audit),
-		Bills:         typed(srv.bills),
-		Status:        typed(srv.status),
-
-		verdicts.CommandList: srv.verdict(verdicts.CommandList),
-		verdicts.CommandLift: srv.verdict(verdicts.CommandLift),
+		AccountCreate: withArgs(srv.accountCreate),
+		AccountKey:    withArgs(srv.accountKey),
+		AccountList:   withArgs(srv.accountList),
+		BudgetCreate:  withArgs(srv.budgetCreate),
+		BudgetTopUp:   withArgs(srv.budgetTopUp),
+		BudgetShow:    withArgs(srv.budgetShow),
+		BudgetClose:   withArgs(srv.budgetClose),
+		PoolSet:       withArgs(srv.poolSet),
+		PoolList:      withArgs(srv.poolList),
+		PoolDelete:    withArgs(srv.poolDelete),
+		TableGet:      withArgs(srv.tableGet),
+		TableSet:      withArgs(srv.tableSet),
+		TableApply:    withArgs(srv.tableApply),
+		Audit:         withArgs(srv.audit),
+		Bills:         withArgs(srv.bills),
+		Status:        withArgs(srv.status),
+
+		verdicts.CommandList: srv.verdictCommand(verdicts.CommandList),
+		verdicts.CommandLift: srv.verdictCommand(verdicts.CommandLift),
 	}
 	return srv
 }
 
-// typed decodes a command's arguments.
-func typed[A any](fn func(context.Context, string, A) (any, error)) command {
+// withArgs returns a command that decodes its JSON arguments and calls fn.
+func withArgs[A any](fn func(context.Context, string, A) (any, error)) command {
 	return func(ctx context.Context, operator string, args []byte) (any, error) {
 		var a A
 		if err := json.Unmarshal(args, &a); err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// Do is the drpc method: it checks the key and runs the command.
+// Do implements the drpc method: it verifies the operator key and runs the command.
 func (s *Server) Do(ctx context.Context, req *peer.AdminRequest) (*peer.AdminAnswer, error) {
 	if !authenticate.Matches(req.Key, s.keyHash) {
 		return nil, result.New(result.NotOperator, "the operator key is missing or wrong")
@@ -105,21 +106,20 @@
 	return &peer.AdminAnswer{Result: body}, nil
 }
 
-// verdict returns a command on the requests that are held back.
-func (s *Server) verdict(name string) command {
+// verdictCommand returns a command on the verdicts, by which requests are held back.
+func (s *Server) verdictCommand(name string) command {
 	return func(_ context.Context, operator string, args []byte) (any, error) {
 		return s.verdicts.Do(operator, name, args)
 	}
 }
 
-// propose decides edits for the fleet. A change that got as far as the
-// configuration log is in the audit trail by that; one refused before is
-// noted.
+// propose proposes edits to the fleet. A change that reached the configuration log is in the
+// audit trail through that log; for one refused earlier, propose writes an audit entry.
 func (s *Server) propose(ctx context.Context, operator string, skip []string, edits ...table.Edit) (table.Change, error) {
 	change := table.Change{ID: uuid.NewString(), Operator: operator, Edits: edits}
 	final, err := s.tables.Propose(ctx, change, skip)
 	if err != nil && result.From(err).Code != result.CannotFollow {
-		s.note(ctx, operator, "change", edits, err)
+		s.writeAudit(ctx, operator, "change", edits, err)
 	}
 	return final, err
 }
@@ -163,10 +163,10 @@
 		return nil, err
 	}
 	if err := budgets.Create(ctx, s.store, s.pages, a.ID, a.Account, a.Tokens); err != nil {
-		s.note(ctx, operator, BudgetCreate, a, err)
+		s.writeAudit(ctx, operator, BudgetCreate, a, err)
 		return nil, err
 	}
-	s.note(ctx, operator, BudgetCreate, a, nil)
+	s.writeAudit(ctx, operator, BudgetCreate, a, nil)
 	if account.Budget == "" {
 		account.Budget = a.ID
 	}
@@ -176,7 +176,7 @@
 
 func (s *Server) budgetTopUp(ctx context.Context, operator string, a BudgetArgs) (any, error) {
 	limit, err := budgets.TopUp(ctx, s.store, s.pages, a.ID, a.Tokens)
-	s.note(ctx, operator, BudgetTopUp, a, err)
+	s.writeAudit(ctx, operator, BudgetTopUp, a, err)
 	if err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 	return answer, nil
 }
 
-// addHeld asks all routers what they hold.
+// addHeld adds the tokens that the routers hold, and lists the routers that don't answer.
 func (s *Server) addHeld(ctx context.Context, answer *BudgetAnswer) {
 	for _, m := range s.members.Members() {
 		resp, err := peer.Call[peer.HoldingRequest, peer.HoldingAnswer](ctx, s.peers, m.Addr, peer.MethodHolding, &peer.HoldingRequest{Budgets: []string{answer.ID}})
@@ -209,8 +209,8 @@
 	}
 }
 
-// budgetClose folds a holder whose instance the operator attests to be
-// terminated. What it held stays counted as spent.
+// budgetClose closes a holder whose instance the operator attests to be terminated. The
+// tokens that it held remain counted as spent.
 func (s *Server) budgetClose(ctx context.Context, operator string, a HolderArgs) (any, error) {
 	var err error
 	for n := range s.pages {
@@ -218,7 +218,7 @@
 			break
 		}
 	}
-	s.note(ctx, operator, BudgetClose, a, err)
+	s.writeAudit(ctx, operator, BudgetClose, a, err)
 	return struct{}{}, err
 }
 
@@ -243,8 +243,7 @@
 	return table.RowList(s.tables.State()), nil
 }
 
-// tableSet edits one row. Without an expected revision it takes the present
-// one.
+// tableSet edits one row. Without an expected revision it expects the current one.
 func (s *Server) tableSet(ctx context.Context, operator string, a TableSetArgs) (any, error) {
 	st := s.tables.State()
 	row, ok := st.Rows[a.Row]
@@ -271,8 +270,9 @@
 
 const auditPrefix = "audit/"
 
-// note writes an audit entry for a change outside the configuration log.
-func (s *Server) note(ctx context.Context, operator, what string, args any, err error) {
+// writeAudit writes an audit entry for a command that is not in the configuration log. Errors
+// of the store are ignored.
+func (s *Server) writeAudit(ctx context.Context, operator, what string, args any, err error) {
 	text, _ := json.Marshal(args)
 	entry := AuditEntry{At: time.Now().UTC(), Operator: operator, What: what + " " + string(text), Outcome: "accepted"}
 	if err != nil {
@@ -283,7 +283,7 @@
 	_, _ = s.store.Create(ctx, key, value)
 }
 
-// audit merges the configuration log and the other entries, oldest first.
+// audit returns the entries of the configuration log and the other audit entries, oldest first.
 func (s *Server) audit(ctx context.Context, _ string, _ struct{}) (any, error) {
 	changes, err := s.tables.Log(ctx)
 	if err != nil {
@@ -291,22 +291,22 @@
 	}
 	var entries []AuditEntry
 	for _, c := range changes {
-		entries = append(entries, changeEntries(c)...)
+		entries = append(entries, auditEntries(c)...)
 	}
 	objects, _, err := s.store.List(ctx, auditPrefix)
 	if err != nil {
 		return nil, result.New(result.StoreUnavailable, "the store does not answer").Wrap(err)
 	}
 	for _, o := range objects {
-		entries = append(entries, readEntry(o))
+		entries = append(entries, decodeEntry(o))
 	}
 	sort.SliceStable(entries, func(i, j int) bool { return entries[i].At.Before(entries[j].At) })
 	return entries, nil
 }
 
-// readEntry reads an audit entry. One that cannot be read is shown as such: a
-// trail without it would look whole.
-func readEntry(o store.Object) AuditEntry {
+// decodeEntry decodes an audit entry. An entry that cannot be decoded is listed as unreadable,
+// since a trail without it would look complete.
+func decodeEntry(o store.Object) AuditEntry {
 	var e AuditEntry
 	if err := json.Unmarshal(o.Value, &e); err != nil {
 		return AuditEntry{At: entryTime(o.Key), What: o.Key, Outcome: "not readable: " + err.Error()}
@@ -314,7 +314,7 @@
 	return e
 }
 
-// entryTime is the time that an audit entry's key begins with.
+// entryTime returns the time at the start of an audit entry's key; zero if there is none.
 func entryTime(key string) time.Time {
 	text, _, _ := strings.Cut(strings.TrimPrefix(key, auditPrefix), "-")
 	nanos, err := strconv.ParseInt(text, 10, 64)
@@ -324,7 +324,7 @@
 	return time.Unix(0, nanos).UTC()
 }
 
-func changeEntries(c table.Change) []AuditEntry {
+func auditEntries(c table.Change) []AuditEntry {
 	outcome := string(c.Status)
 	if len(c.Missing) > 0 {
 		outcome = fmt.Sprintf("%s: %v could not follow", c.Status, c.Missing)
@@ -345,7 +345,7 @@
 	return entries
 }
 
-// bills sums the ledger by budget.
+// bills returns the billed attempts and tokens in the ledger, by budget.
 func (s *Server) bills(ctx context.Context, _ string, _ struct{}) (any, error) {
 	sums := map[string]*BillSum{}
 	for n := range s.shards {
--- a/admin/messages.go
+++ b/admin/messages.go
@@ -8,7 +8,7 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// The commands.
+// Names of the operator commands.
 const (
 	AccountCreate = "account.create"
 	AccountKey    = "account.key"
@@ -33,7 +33,7 @@
 	ID string `json:"id"`
 }
 
-// KeyAnswer is a new key. It is shown once and stored nowhere.
+// KeyAnswer holds a new API key. It is returned once; only its hash is stored.
 type KeyAnswer struct {
 	Account  string `json:"account"`
 	Key      string `json:"key"`
@@ -51,21 +51,23 @@
 type BudgetAnswer struct {
 	ID      string `json:"id"`
 	Account string `json:"account,omitempty"`
-	// Limit is what was prepaid.
+	// Limit is the number of prepaid tokens.
 	Limit int64 `json:"limit"`
-	// Issued was handed to routers, net of returns.
+	// Issued is the number of tokens handed to routers, net of returns.
 	Issued int64 `json:"issued"`
-	// Free can still be issued.
+	// Free is the number of tokens that can still be issued.
 	Free int64 `json:"free"`
-	// Held is with routers that answered: unused or in running requests.
+	// Held is the number of tokens held by routers that answered: unused or reserved for running
+	// requests.
 	Held int64 `json:"held"`
-	// SpentOrStranded is the rest: spent, or held by a router that is gone.
+	// SpentOrStranded is Issued minus Held: spent, or held by a router that is gone or did not
+	// answer.
 	SpentOrStranded int64 `json:"spent_or_stranded"`
-	// WrittenOff is counted as spent after several routers died together.
+	// WrittenOff is the number of tokens counted as spent after several routers failed together.
 	WrittenOff int64 `json:"written_off,omitempty"`
-	// Holders are the open holders' net issue.
+	// Holders maps each open holder to the tokens issued to it, net of returns.
 	Holders map[string]int64 `json:"holders,omitempty"`
-	// Silent names listed routers that did not answer.
+	// Silent lists the member routers that did not answer.
 	Silent []string `json:"silent,omitempty"`
 }
 
@@ -74,7 +76,7 @@
 	Holder string `json:"holder"`
 }
 
-// PoolArgs carries a pool, or just its name. Skip is as in TableSetArgs.
+// PoolArgs contains a pool, or only its name. Skip is as in TableSetArgs.
 type PoolArgs struct {
 	Pool table.Pool `json:"pool"`
 	Skip []string   `json:"skip,omitempty"`
@@ -82,24 +84,23 @@
 
 // TableSetArgs edits one row.
 type TableSetArgs struct {
-	// Row is ACCOUNT/TARGET/SITE.
+	// Row is the row's name, ACCOUNT/TARGET/SITE.
 	Row string `json:"row"`
-	// Assignments are COLUMN=VALUE.
+	// Assignments are of the form COLUMN=VALUE.
 	Assignments []string `json:"assignments"`
-	// Expect is the revision that the operator saw; absent means the present
-	// one.
+	// Expect is the revision on which the edit is based; if absent, the current one.
 	Expect *int64 `json:"expect,omitempty"`
-	// Skip names instances that the operator attests to be terminated.
+	// Skip lists instances that the operator attests to be terminated.
 	Skip []string `json:"skip,omitempty"`
 }
 
-// TableApplyArgs carries several edits as one change.
+// TableApplyArgs contains several edits that form one change.
 type TableApplyArgs struct {
 	Edits []table.Edit `json:"edits"`
 	Skip  []string     `json:"skip,omitempty"`
 }
 
-// AuditEntry is one line of the audit trail.
+// AuditEntry is one entry of the audit trail.
 type AuditEntry struct {
 	At       time.Time       `json:"at"`
 	Operator string          `json:"operator"`
@@ -115,12 +116,12 @@
 type BillSum struct {
 	Account string `json:"account"`
 	Budget  string `json:"budget"`
-	// Attempts are the billed attempts, Tokens what they served.
+	// Attempts is the number of billed attempts, Tokens the number of tokens that they served.
 	Attempts int   `json:"attempts"`
 	Tokens   int64 `json:"tokens"`
 }
 
-// StatusAnswer is one router's view.
+// StatusAnswer is one router's view of the fleet.
 type StatusAnswer struct {
 	Instance string              `json:"instance"`
 	Ready    bool                `json:"ready"`
