--- a/link/link.go
+++ b/link/link.go
@@ -1,9 +1,9 @@
-// Package link watches how full the instance's own network link is.
+// Package link measures the utilization of the instance's own network link.
 //
-// A router whose link is full delays everything that it does: requests reach
-// it late, connections to sound servers time out, and it would take them for
-// dead. It counts the bytes that its connections carry, in each direction, and
-// compares them with the link's capacity.
+// A congested link delays all of a router's traffic: requests arrive late, and connections to
+// healthy servers time out, so that the router would take the servers for dead. The package
+// counts the bytes of the router's connections in each direction and compares them with the
+// link's capacity.
 package link
 
 import (
@@ -13,15 +13,14 @@
 )
 
 const (
-	// Window is the time over which bytes are counted. Call Tick that often.
+	// Window is the time over which bytes are counted, and the interval at which to call Tick.
 	Window = 250 * time.Millisecond
-	// overhead is the part that packet heads add to the bytes that connections
-	// carry, for packets of some hundred bytes.
+	// overhead is the factor by which packet headers increase the transferred bytes, for packets
+	// of a few hundred bytes.
 	overhead = 1.1
 )
 
-// Load is the part of the link's capacity that was used in the last window,
-// by direction; 1 is a full link.
+// Load is the utilization of the link in the last window, by direction; 1 is the full capacity.
 type Load struct{ In, Out float64 }
 
 // Meter counts the bytes of an instance's connections. It is safe for
@@ -33,29 +32,29 @@
 	load     atomic.Pointer[Load]
 }
 
-// New returns a meter for a link that carries so many bytes a second in each
-// direction; 0 means that it is not known, and the load is always 0.
+// New returns a meter for a link with the given capacity in bytes per second in each direction.
+// With a capacity of 0, which means unknown, the load is always 0.
 func New(capacity float64, now time.Time) *Meter {
 	m := &Meter{capacity: capacity, tickedAt: now}
 	m.load.Store(&Load{})
 	return m
 }
 
-// Received counts bytes that a connection has received.
+// Received adds n bytes received by a connection.
 func (m *Meter) Received(n int) {
 	if m != nil {
 		m.in.Add(int64(n))
 	}
 }
 
-// Sent counts bytes that a connection has sent.
+// Sent adds n bytes sent by a connection.
 func (m *Meter) Sent(n int) {
 	if m != nil {
 		m.out.Add(int64(n))
 	}
 }
 
-// Tick ends a window. It is called by one goroutine.
+// Tick ends a window and returns its load. It must be called by one goroutine only.
 func (m *Meter) Tick(now time.Time) Load {
 	span := now.Sub(m.tickedAt).Seconds()
 	in, out := m.in.Swap(0), m.out.Swap(0)
@@ -72,10 +71,10 @@
 // Load returns the load of the last window.
 func (m *Meter) Load() Load { return *m.load.Load() }
 
-// Listener returns a listener whose connections are counted.
+// Listener returns a listener that counts the bytes of its connections.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &listener{Listener: l, meter: m} }
 
-// listener counts the connections it accepts.
+// listener wraps accepted connections in conn.
 type listener struct {
 	net.Listener
 	meter *Meter
@@ -90,15 +89,15 @@
 	return &conn{Conn: c, meter: l.meter}, nil
 }
 
-// conn counts its bytes. It embeds the interface, so that no method of the
-// connection below moves bytes past the counting.
+// conn counts the bytes read and written. It embeds the net.Conn interface and not a concrete type,
+// so that methods such as ReadFrom cannot transfer bytes uncounted.
 type conn struct {
 	net.Conn
 	meter *Meter
 }
 
-// NetConn returns the connection below, for its options; bytes moved there are not
-// counted.
+// NetConn returns the wrapped connection, for its socket options; bytes transferred on it directly
+// are not counted.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
 // Read implements net.Conn.
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestUnknownCapacityIsNeverFull(t *testing.T) {
+func TestUnknownCapacityIsNeverCongested(t *testing.T) {
 	m := link.New(0, start)
 	m.Received(1 << 30)
 	if got := m.Tick(start.Add(time.Second)); got != (link.Load{}) {
@@ -69,25 +69,25 @@
 	}
 }
 
-func TestFullLinkSendsCallersAwayForAWhile(t *testing.T) {
-	var g link.Guard
+func TestCongestedLinkShedsCallersForAWhile(t *testing.T) {
+	var g link.Shedder
 	g.Observe(start, link.Load{In: 0.5, Out: 0.6})
-	if g.Away(start) || g.Full() {
-		t.Fatal("a link with room sends callers away")
+	if g.Shedding(start) || g.Congested() {
+		t.Fatal("a link with spare capacity sheds callers")
 	}
 	g.Observe(start, link.Load{In: 0.1, Out: 0.95})
-	if !g.Away(start) || !g.Full() {
-		t.Fatal("a link that is full one way keeps its callers")
+	if !g.Shedding(start) || !g.Congested() {
+		t.Fatal("a link that is congested in one direction does not shed callers")
 	}
 	later := start.Add(time.Second)
 	g.Observe(later, link.Load{In: 0.2})
-	if g.Full() {
-		t.Fatal("full although the last window was not")
+	if g.Congested() {
+		t.Fatal("congested although the last window was not")
 	}
-	if !g.Away(later) {
-		t.Fatal("callers come back before the balancer has noticed")
+	if !g.Shedding(later) {
+		t.Fatal("shedding ends before the load balancer has noticed")
 	}
-	if g.Away(start.Add(10 * time.Second)) {
-		t.Fatal("callers never come back")
+	if g.Shedding(start.Add(10 * time.Second)) {
+		t.Fatal("shedding does not end")
 	}
 }
--- a/server/link.go
+++ b/server/link.go
@@ -26,7 +26,7 @@
 // calls unanswered.
 type linkState struct {
 	mu       sync.Mutex
-	shedder  link.Guard
+	shedder  link.Shedder
 	shedding bool // at the end of the last window
 	// starved is set if the last window ended late for lack of CPU time.
 	starved bool
@@ -43,14 +43,14 @@
 func (l *linkState) Shedding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shedder.Away(clock.Now())
+	return l.shedder.Shedding(clock.Now())
 }
 
 // Congested reports whether the link was congested in the last window.
 func (l *linkState) Congested() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shedder.Full()
+	return l.shedder.Congested()
 }
 
 // Busy reports whether the link is congested, CPU time or file descriptors are exhausted, or the
@@ -65,7 +65,7 @@
 // because a process that resumes from a pause may serve requests before its timers fire.
 func (l *linkState) busy(now time.Time) bool {
 	overdue := !l.observedAt.IsZero() && now.Sub(l.observedAt) >= starvedWindow
-	return l.shedder.Full() || l.starved || overdue || now.Before(l.descriptorsOutUntil)
+	return l.shedder.Congested() || l.starved || overdue || now.Before(l.descriptorsOutUntil)
 }
 
 // UnansweredSince reports whether a call to another router that began after the given time, and
@@ -112,7 +112,7 @@
 		l.lastBusyAt = now
 	}
 	was := l.shedding
-	l.shedding = l.shedder.Away(now)
+	l.shedding = l.shedder.Shedding(now)
 	return was != l.shedding
 }
 
@@ -134,5 +134,5 @@
 	if !s.link.Congested() {
 		return 0
 	}
-	return s.queue.Wait(clock.Now())
+	return s.queue.Delay(clock.Now())
 }
--- a/server/server.go
+++ b/server/server.go
@@ -140,7 +140,7 @@
 	pool     *upstream.Pool
 	meter    *link.Meter
 	link     linkState
-	queue    link.Queue
+	queue    link.QueueEstimator
 	// shares holds the maximum number of open sockets per purpose; callerLimit is the maximum
 	// number of caller connections, bounded by memory as well.
 	shares      sockets.Shares
