--- a/server/server.go
+++ b/server/server.go
@@ -331,8 +331,8 @@
 	if err != nil {
 		return trace.Wrap(err, "listening at %s", s.settings.Listen.Peers)
 	}
-	s.peerListener = sockets.BoundEvicting(listener, s.shares.PeersIn)
-	s.peerListener.Failed = s.descriptors.handleError
+	s.peerListener = sockets.NewEvictingListener(listener, s.shares.PeersIn)
+	s.peerListener.OnError = s.descriptors.handleError
 	if err := s.serveMetrics(); err != nil {
 		return err
 	}
--- a/server/sockets.go
+++ b/server/sockets.go
@@ -49,15 +49,15 @@
 
 // boundCallers limits the connections of callers.
 func (s *Server) boundCallers(l net.Listener) net.Listener {
-	b := sockets.Bound(l, s.callerLimit)
-	b.Failed = s.descriptors.handleError
+	b := sockets.NewListener(l, s.callerLimit)
+	b.OnError = s.descriptors.handleError
 	s.callerListener = b
 	return b
 }
 
 // boundChecks limits the connections of readiness checks and of metrics scrapes.
 func (s *Server) boundChecks(l net.Listener) net.Listener {
-	return sockets.BoundEvicting(l, s.shares.Checks)
+	return sockets.NewEvictingListener(l, s.shares.Checks)
 }
 
 // openSockets holds the number of open sockets per purpose.
--- a/sockets/listener.go
+++ b/sockets/listener.go
@@ -9,50 +9,51 @@
 	"github.com/gaplink/gaplink/clock"
 )
 
-// evictIdle is how long a connection has carried no bytes that may be closed for a new one.
+// evictIdle is the idle time from which a connection may be closed in favour of a new one.
 const evictIdle = time.Second
 
-// evictEvery is how often a full listener looks for such a connection.
-const evictEvery = 20 * time.Millisecond
+// evictInterval is how often a listener at its limit checks for such a connection.
+const evictInterval = 20 * time.Millisecond
 
-// Listener bounds the open connections of a listener. Connections beyond the bound wait to be
-// accepted. It differs from netutil.LimitListener in that its connections tell the one below
-// (NetConn), which the gateway needs to reset a caller's, and in that it can evict.
+// Listener limits the number of open connections of a listener. Connections beyond the limit wait to
+// be accepted. In contrast to netutil.LimitListener its connections expose the wrapped connection
+// through NetConn, which the gateway needs to reset a caller's connection, and it can evict idle
+// connections.
 type Listener struct {
 	net.Listener
-	// Failed is told each error of accepting a connection; nil: nobody is.
-	Failed func(error)
+	// OnError, if not nil, is called with each error of accepting a connection.
+	OnError func(error)
 
 	evicts bool
-	slots  chan struct{} // nil: there is no bound
+	slots  chan struct{} // nil if there is no limit
 	open   atomic.Int64
 	once   sync.Once
 	closed chan struct{}
 
 	mu    sync.Mutex
-	conns map[*conn]struct{} // of a listener that evicts
+	conns map[*conn]struct{} // only for a listener that evicts
 }
 
-// Bound returns a listener with at most so many open connections; 0: any number.
-func Bound(l net.Listener, most int) *Listener {
+// NewListener returns a listener with at most maxOpen open connections; 0 means no limit.
+func NewListener(l net.Listener, maxOpen int) *Listener {
 	b := &Listener{Listener: l, closed: make(chan struct{})}
-	if most > 0 {
-		b.slots = make(chan struct{}, most)
+	if maxOpen > 0 {
+		b.slots = make(chan struct{}, maxOpen)
 	}
 	return b
 }
 
-// BoundEvicting is Bound, but where all connections are open it closes the one that has been
-// idle for the longest time, at least a second, to accept another one: a peer that went away
-// without a word leaves its connections open.
-func BoundEvicting(l net.Listener, most int) *Listener {
-	b := Bound(l, most)
+// NewEvictingListener is like Bound, but a listener at its limit closes the connection that has been idle
+// for the longest time, at least a second, to accept another one: a peer that failed without closing
+// its connections leaves them open.
+func NewEvictingListener(l net.Listener, maxOpen int) *Listener {
+	b := NewListener(l, maxOpen)
 	b.evicts = true
 	b.conns = map[*conn]struct{}{}
 	return b
 }
 
-// Open returns how many connections are open; a listener that is nil has none.
+// Open returns the number of open connections; 0 for a nil listener.
 func (l *Listener) Open() int64 {
 	if l == nil {
 		return 0
@@ -68,14 +69,14 @@
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		l.release()
-		if l.Failed != nil {
-			l.Failed(err)
+		if l.OnError != nil {
+			l.OnError(err)
 		}
 		return nil, err
 	}
 	l.open.Add(1)
 	c := &conn{Conn: raw, listener: l}
-	c.used.Store(int64(clock.Now().Sub(epoch)))
+	c.lastUsed.Store(int64(clock.Now().Sub(epoch)))
 	if l.evicts {
 		l.mu.Lock()
 		l.conns[c] = struct{}{}
@@ -84,7 +85,7 @@
 	return c, nil
 }
 
-// acquire waits for room for one more connection; false: the listener is closed.
+// acquire waits for a free slot. It returns false if the listener is closed.
 func (l *Listener) acquire() bool {
 	if l.slots == nil {
 		return true
@@ -95,18 +96,19 @@
 			return true
 		case <-l.closed:
 			return false
-		case <-l.retry():
+		case <-l.evictTimer():
 			l.evict()
 		}
 	}
 }
 
-// retry fires when a listener that evicts should look for an idle connection.
-func (l *Listener) retry() <-chan time.Time {
+// evictTimer returns a channel that fires when an evicting listener should check for an idle
+// connection; nil for other listeners.
+func (l *Listener) evictTimer() <-chan time.Time {
 	if !l.evicts {
 		return nil
 	}
-	return time.After(evictEvery)
+	return time.After(evictInterval)
 }
 
 func (l *Listener) release() {
@@ -115,18 +117,18 @@
 	}
 }
 
-// evict closes the connection that has been idle for the longest time, if it was for long.
+// evict closes the connection that has been idle for the longest time, if that is at least evictIdle.
 func (l *Listener) evict() {
 	l.mu.Lock()
 	var oldest *conn
 	for c := range l.conns {
-		if oldest == nil || c.used.Load() < oldest.used.Load() {
+		if oldest == nil || c.lastUsed.Load() < oldest.lastUsed.Load() {
 			oldest = c
 		}
 	}
 	l.mu.Unlock()
-	if oldest != nil && clock.Now().Sub(epoch)-time.Duration(oldest.used.Load()) >= evictIdle {
-		_ = oldest.Close() // nobody waits for it
+	if oldest != nil && clock.Now().Sub(epoch)-time.Duration(oldest.lastUsed.Load()) >= evictIdle {
+		_ = oldest.Close() // the peer is assumed gone, so the error is of no use
 	}
 }
 
@@ -136,48 +138,48 @@
 	return l.Listener.Close()
 }
 
-// epoch is what moments are counted from that are kept as numbers.
+// epoch is the origin of times that are stored as integers.
 var epoch = clock.Now()
 
-// conn gives its slot back when it is closed.
+// conn releases its slot when it is closed.
 type conn struct {
 	net.Conn
 	listener *Listener
-	used     atomic.Int64 // when it last carried bytes, in ns since epoch
+	lastUsed atomic.Int64 // last read or write of data, in ns since epoch
 	once     sync.Once
 }
 
-// NetConn returns the connection below.
+// NetConn returns the wrapped connection.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.noteUse(n)
+	c.recordUse(n)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.noteUse(n)
+	c.recordUse(n)
 	return n, err
 }
 
-func (c *conn) noteUse(n int) {
+func (c *conn) recordUse(n int) {
 	if c.listener.evicts && n > 0 {
-		c.used.Store(int64(clock.Now().Sub(epoch)))
+		c.lastUsed.Store(int64(clock.Now().Sub(epoch)))
 	}
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.closedOnce)
+	c.once.Do(c.unregister)
 	return err
 }
 
-func (c *conn) closedOnce() {
+func (c *conn) unregister() {
 	l := c.listener
 	if l.evicts {
 		l.mu.Lock()
--- a/sockets/listener_test.go
+++ b/sockets/listener_test.go
@@ -32,7 +32,7 @@
 	return a
 }
 
-// next returns the next connection; nil: there is none within a time.
+// next returns the next accepted connection, or nil after the given time.
 func (a acceptor) next(within time.Duration) net.Conn {
 	select {
 	case c := <-a.accepted:
@@ -62,9 +62,9 @@
 	return c
 }
 
-func TestBoundHoldsBackWhatIsTooMany(t *testing.T) {
+func TestConnectionsBeyondTheLimitWait(t *testing.T) {
 	raw := listen(t)
-	l := sockets.Bound(raw, 1)
+	l := sockets.NewListener(raw, 1)
 	a := accept(l)
 	dial(t, raw)
 	dial(t, raw)
@@ -73,7 +73,7 @@
 		t.Fatalf("not one connection, but %d", l.Open())
 	}
 	_ = first.Close()
-	_ = first.Close() // gives one slot back, not two
+	_ = first.Close() // releases one slot, not two
 	second := a.next(time.Second)
 	if second == nil || l.Open() != 1 {
 		t.Fatalf("%d connections after one was closed", l.Open())
@@ -90,11 +90,11 @@
 	}
 }
 
-// Guards against connections of peers that went away without a word, which keep others out for
-// good.
-func TestLongestIdleConnectionMakesWay(t *testing.T) {
+// Guards against connections of peers that failed without closing them, which would block new
+// connections permanently.
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	raw := listen(t)
-	l := sockets.BoundEvicting(raw, 2)
+	l := sockets.NewEvictingListener(raw, 2)
 	defer func() { _ = l.Close() }()
 	a := accept(l)
 	silent, talking := dial(t, raw), dial(t, raw)
@@ -110,10 +110,10 @@
 	}
 	dial(t, raw)
 	if a.next(500*time.Millisecond) != nil {
-		t.Fatal("a connection made way that was in use just now")
+		t.Fatal("a connection in use was evicted")
 	}
 	if a.next(3*time.Second) == nil {
-		t.Fatal("no connection made way")
+		t.Fatal("no connection was evicted")
 	}
 	if _, err := inSilent.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the idle connection is open: %v", err)
@@ -126,10 +126,10 @@
 	}
 }
 
-// Guards against a listener without a bound that counts wrongly or waits.
-func TestNoBound(t *testing.T) {
+// Guards against a listener without a limit that miscounts or blocks.
+func TestNoLimit(t *testing.T) {
 	raw := listen(t)
-	l := sockets.Bound(raw, 0)
+	l := sockets.NewListener(raw, 0)
 	defer func() { _ = l.Close() }()
 	a := accept(l)
 	for range 5 {
@@ -143,22 +143,22 @@
 	}
 }
 
-// refusing is a listener of a process without descriptors.
-type refusing struct{ net.Listener }
+// exhaustedListener is the listener of a process that is out of file descriptors.
+type exhaustedListener struct{ net.Listener }
 
-func (refusing) Accept() (net.Conn, error) { return nil, syscall.EMFILE }
+func (exhaustedListener) Accept() (net.Conn, error) { return nil, syscall.EMFILE }
 
-// Guards against slots that failed accepts keep, and against errors that nobody is told.
+// Guards against failed accepts that leak slots, and against accept errors that are not reported.
 func TestFailedAcceptKeepsNoSlot(t *testing.T) {
-	l := sockets.Bound(refusing{listen(t)}, 1)
-	told := 0
-	l.Failed = func(error) { told++ }
+	l := sockets.NewListener(exhaustedListener{listen(t)}, 1)
+	reported := 0
+	l.OnError = func(error) { reported++ }
 	for range 3 {
 		if _, err := l.Accept(); !errors.Is(err, syscall.EMFILE) {
 			t.Fatal(err)
 		}
 	}
-	if told != 3 || l.Open() != 0 {
-		t.Errorf("told %d errors, %d open", told, l.Open())
+	if reported != 3 || l.Open() != 0 {
+		t.Errorf("%d errors reported, %d open", reported, l.Open())
 	}
 }
--- a/sockets/shares.go
+++ b/sockets/shares.go
@@ -1,36 +1,38 @@
-// Package sockets divides the descriptors of a process among its purposes, so that callers
-// cannot use up those by which the process learns what is new.
+// Package sockets divides the file descriptors of a process among purposes, so that callers cannot
+// use up those needed for updates from the store and other routers.
 package sockets
 
 const (
-	// fileDescriptors are kept for files, timers and pipes.
+	// fileDescriptors is the number of descriptors reserved for files, timers and pipes.
 	fileDescriptors = 200
-	// controlSockets are kept for the store, listeners, readiness checks and metrics.
+	// controlSockets is the number of sockets reserved for the store, listeners, readiness checks
+	// and metrics.
 	controlSockets = 64
-	// leastSockets are divided in any case.
-	leastSockets = 160
-	// peerShare is the part of the sockets that connections between routers may take.
+	// minSockets is the number of sockets divided even if the process may open fewer.
+	minSockets = 160
+	// peerShare is the fraction of the remaining sockets for connections between routers.
 	peerShare = 0.2
 )
 
-// Shares are how many sockets each purpose may have open; 0: any number.
+// Shares holds the maximum number of open sockets per purpose; 0 means no limit.
 type Shares struct {
-	// Callers are connections of callers, and Backends those to backend servers. A request
-	// takes one of each.
+	// Callers limits connections of callers, Backends those to backend servers. A request uses one
+	// of each.
 	Callers, Backends int
-	// PeersIn are connections from other routers and from operators, PeersOut those to other
+	// PeersIn limits connections from other routers and from operators, PeersOut those to other
 	// routers.
 	PeersIn, PeersOut int
-	// Checks are connections for readiness checks, and as many are for metrics.
+	// Checks limits connections for readiness checks, and separately those for metrics.
 	Checks int
 }
 
-// Divide returns the shares of a process that may open so many descriptors; 0: it is not known.
+// Divide returns the shares of a process that may open the given number of file descriptors. If that
+// is 0, which means unknown, there are no limits.
 func Divide(descriptors int) Shares {
 	if descriptors == 0 {
 		return Shares{}
 	}
-	all := max(descriptors-fileDescriptors, leastSockets)
+	all := max(descriptors-fileDescriptors, minSockets)
 	control := min(controlSockets, all/8)
 	peers := int(peerShare * float64(all-control))
 	requests := all - control - peers
@@ -41,5 +43,5 @@
 	}
 }
 
-// Sum is how many sockets all shares hold together.
+// Sum returns the total number of sockets of all shares.
 func (s Shares) Sum() int { return s.Callers + s.Backends + s.PeersIn + s.PeersOut + 2*s.Checks }
--- a/sockets/shares_test.go
+++ b/sockets/shares_test.go
@@ -6,10 +6,10 @@
 	"github.com/gaplink/gaplink/sockets"
 )
 
-// Guards against shares that together exceed the limit, so that callers and backend servers
-// leave no descriptor for the store and the other routers. The pattern is a large account whose
-// callers are all handed to one small router, which was paused: thousands of connections of
-// callers, one to a backend server for each request, and a question of each other router.
+// Guards against shares whose sum exceeds the limit, so that callers and backend servers leave no
+// descriptor for the store and the other routers. It happens when all callers of a large account
+// reach one small router that was paused: there are thousands of caller connections, a backend
+// connection for each request, and a call from each other router.
 func TestSharesLeaveRoomForControl(t *testing.T) {
 	for _, limit := range []int{512, 1024, 2048, 3075, 4100, 8192, 100_000} {
 		s := sockets.Divide(limit)
@@ -23,13 +23,13 @@
 	}
 }
 
-// Guards against a share of 0, which would be no bound.
+// Guards against a share of 0, which would mean no limit.
 func TestFewDescriptorsAreDividedToo(t *testing.T) {
 	s := sockets.Divide(100)
 	if s.Callers < 50 || s.Backends < 50 || s.PeersIn < 10 || s.PeersOut < 10 || s.Checks < 2 {
 		t.Errorf("%+v", s)
 	}
 	if (sockets.Divide(0) != sockets.Shares{}) {
-		t.Error("an unknown limit bounds sockets")
+		t.Error("an unknown descriptor limit limits sockets")
 	}
 }
