--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,14 +1,14 @@
-// Package clock is the clock of ages, leases and deadlines, but for those of budgets,
-// which must stand still with the steady clock (see controller/budgets).
+// Package clock provides the time for ages, leases and deadlines, except those of budgets,
+// which must use the monotonic clock, as that stops during a suspension (see controller/budgets).
 //
-// Go's time.Since, Sub of two time.Now and all timers go by the steady clock, which
-// stands still while a machine is suspended: after a minute of that, what was heard a
-// minute ago would count as new, a lease that has lapsed as held, and a caller that has
-// left as waiting. The time of day goes on, but it is set by seconds either way. So ages
-// are taken here, by the steady clock plus the time for which the machine was suspended.
+// Go's time.Since, the difference of two time.Now and all timers use the monotonic clock, which
+// stops while the machine is suspended: after a suspension of a minute, data received a minute ago
+// would count as new, an expired lease as held, and a caller that has disconnected as waiting. The
+// wall clock continues, but it can be adjusted by seconds in either direction. This package therefore
+// adds the time for which the machine was suspended to the monotonic clock.
 //
-// Only what is told to others, or kept, is taken from time.Now. Timers still stand still
-// with the machine: Suspensions tells when it has woken.
+// Use time.Now only for times that are stored or sent to other processes. Timers still stop during a
+// suspension; Suspensions reports when the machine has resumed.
 package clock
 
 import (
@@ -20,51 +20,51 @@
 )
 
 const (
-	// lookEvery is for how long the time suspended is taken without a look at the
-	// kernel's clocks, which costs three system calls: after waking a process may go by
-	// the old time for so long. Each event of a stream asks for the time.
-	lookEvery = 20 * time.Millisecond
-	// leastSuspension is what counts as one: two clocks are never read at the same
-	// moment, and a difference below this would make time stand or run back.
-	leastSuspension = 100 * time.Millisecond
+	// readInterval is how long the suspended time is cached, since reading the kernel's
+	// clocks takes three system calls and each event of a stream needs the time. After the
+	// machine resumes, a process may use the old value for that long.
+	readInterval = 20 * time.Millisecond
+	// minSuspension is the shortest suspension that is counted: two clocks are never read
+	// at the same instant, and counting smaller differences could make time stop or go back.
+	minSuspension = 100 * time.Millisecond
 )
 
-// Now returns the present moment for ages: the difference of two of them counts the
-// time suspended. Its time of day is of no use.
+// Now returns the current time for computing ages: the difference of two such times includes
+// suspended time. Its wall-clock reading is meaningless.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since returns the age of a moment that Now returned.
+// Since returns the time elapsed since t, which must come from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until a moment by Now.
+// Until returns the duration until t by Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended returns for how long the machine was suspended since the process started.
+// Suspended returns the total time that the machine was suspended since the process started.
 func Suspended() time.Duration {
-	if source := replaced.Load(); source != nil {
+	if source := testSource.Load(); source != nil {
 		return (*source)()
 	}
 	return kernel.suspended()
 }
 
-// replaced is the source that tests set.
-var replaced atomic.Pointer[func() time.Duration]
+// testSource is the source set by Replace; nil if there is none.
+var testSource atomic.Pointer[func() time.Duration]
 
-// Replace sets another source of the time suspended, for tests, until restore is called.
+// Replace replaces the source of the suspended time, for tests, until restore is called.
 func Replace(source func() time.Duration) (restore func()) {
-	replaced.Store(&source)
-	return func() { replaced.Store(nil) }
+	testSource.Store(&source)
+	return func() { testSource.Store(nil) }
 }
 
-// kernelClocks reads the time suspended from the kernel's clocks.
+// kernelClocks derives the suspended time from the kernel's clocks.
 type kernelClocks struct {
 	started time.Time
-	// looked is when they were read last, in nanoseconds from started, and total what
-	// was found.
-	looked, total atomic.Int64
+	// readAt is the time of the last reading, and total the suspended time found by it, both in
+	// nanoseconds; readAt counts from started.
+	readAt, total atomic.Int64
 
 	mu sync.Mutex
-	// atStart is the difference of the clocks when the process started.
+	// atStart is the difference of the clocks at the start of the process.
 	atStart time.Duration
 	known   bool
 }
@@ -73,48 +73,48 @@
 
 func newKernelClocks() *kernelClocks {
 	k := &kernelClocks{started: time.Now()}
-	k.atStart, k.known = difference()
+	k.atStart, k.known = clockDifference()
 	return k
 }
 
 func (k *kernelClocks) suspended() time.Duration {
 	now := time.Since(k.started)
-	last := time.Duration(k.looked.Load())
-	if age := now - last; age < 0 || age >= lookEvery {
-		k.look(now)
+	last := time.Duration(k.readAt.Load())
+	if age := now - last; age < 0 || age >= readInterval {
+		k.update(now)
 	}
 	return time.Duration(k.total.Load())
 }
 
-// look reads the clocks. Others go by what was found before meanwhile.
-func (k *kernelClocks) look(now time.Duration) {
+// update reads the clocks. Concurrent callers use the previous value meanwhile.
+func (k *kernelClocks) update(now time.Duration) {
 	if !k.mu.TryLock() {
 		return
 	}
 	defer k.mu.Unlock()
-	k.looked.Store(int64(now))
-	diff, ok := difference()
+	k.readAt.Store(int64(now))
+	diff, ok := clockDifference()
 	if !ok || !k.known {
-		return // a kernel without these clocks; nothing is known of suspensions
+		return // the kernel lacks these clocks, so suspensions are unknown
 	}
-	if total := diff - k.atStart; total >= time.Duration(k.total.Load())+leastSuspension {
+	if total := diff - k.atStart; total >= time.Duration(k.total.Load())+minSuspension {
 		k.total.Store(int64(total))
 	}
 }
 
-// Known tells whether the kernel tells for how long the machine was suspended.
+// Known reports whether the kernel's clocks show how long the machine was suspended.
 func Known() bool { return kernel.known }
 
-// difference returns by how much the clock that counts suspensions is ahead of the steady
-// one. A thread that loses its turn between the two readings would make it too large, so
-// that it is read again.
-func difference() (time.Duration, bool) {
+// clockDifference returns the lead of CLOCK_BOOTTIME, which counts suspended time, over
+// CLOCK_MONOTONIC. If the thread is preempted between the readings the result would be too large,
+// so they are repeated.
+func clockDifference() (time.Duration, bool) {
 	const tries, close = 3, time.Millisecond
 	least := time.Duration(1<<63 - 1)
 	for range tries {
-		before, err1 := read(unix.CLOCK_MONOTONIC)
-		with, err2 := read(unix.CLOCK_BOOTTIME)
-		after, err3 := read(unix.CLOCK_MONOTONIC)
+		before, err1 := readClock(unix.CLOCK_MONOTONIC)
+		with, err2 := readClock(unix.CLOCK_BOOTTIME)
+		after, err3 := readClock(unix.CLOCK_MONOTONIC)
 		if err1 != nil || err2 != nil || err3 != nil {
 			return 0, false
 		}
@@ -126,7 +126,7 @@
 	return least, true
 }
 
-func read(id int32) (time.Duration, error) {
+func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, err
@@ -134,37 +134,37 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Suspensions tells of each suspension of the machine once. It is not safe for concurrent use.
+// Suspensions reports each suspension of the machine once. It is not safe for concurrent use.
 type Suspensions struct{ before time.Duration }
 
-// NewSuspensions returns a Suspensions that tells of those from now on.
+// NewSuspensions returns a Suspensions that reports suspensions from now on.
 func NewSuspensions() *Suspensions { return &Suspensions{before: Suspended()} }
 
-// Since returns for how long the machine was suspended since the last call.
+// Since returns how long the machine was suspended since the last call.
 func (s *Suspensions) Since() time.Duration {
 	now := Suspended()
-	slept := now - s.before
+	suspended := now - s.before
 	s.before = now
-	return slept
+	return suspended
 }
 
-// pauseFor is how much later than it is due a call counts as after a pause of the process: a busy
-// machine is late by tenths of a second.
-const pauseFor = 750 * time.Millisecond
+// minPause is the delay of a periodic call from which it counts as a pause of the process: on a busy
+// machine calls are late by tenths of a second.
+const minPause = 750 * time.Millisecond
 
-// Pauses tells of each pause of the process, or of its machine. It is not safe for concurrent use.
+// Pauses reports each pause of the process or its machine. It is not safe for concurrent use.
 type Pauses struct{ last time.Time }
 
-// NewPauses returns a Pauses that tells of those from now on.
+// NewPauses returns a Pauses that reports pauses from now on.
 func NewPauses() *Pauses { return &Pauses{last: Now()} }
 
-// Since returns for how long the process was paused since the last call, which was due a time ago;
-// 0: it was not.
+// Since returns the time since the last call if the process was paused in between, else 0. due is
+// the interval at which the caller intends to call Since.
 func (p *Pauses) Since(due time.Duration) time.Duration {
 	now := Now()
 	since := now.Sub(p.last)
 	p.last = now
-	if since <= due+pauseFor {
+	if since <= due+minPause {
 		return 0
 	}
 	return since
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"github.com/gaplink/gaplink/lab/clocktest"
 )
 
-// TestAgesCountSuspensions, which the steady clock does not.
+// Ages must include suspended time, which the monotonic clock excludes.
 func TestAgesCountSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := clocktest.New(t)
@@ -23,40 +23,39 @@
 		if left := clock.Until(until); left != -21*time.Second {
 			t.Errorf("%s are left", left)
 		}
-		if steady := time.Since(heard); steady != time.Second {
-			t.Errorf("the steady clock says %s", steady)
+		if monotonic := time.Since(heard); monotonic != time.Second {
+			t.Errorf("the monotonic clock shows %s", monotonic)
 		}
 	})
 }
 
-// Guards against a suspension that is missed or told twice.
-func TestEachSuspensionIsToldOnce(t *testing.T) {
+// Guards against a suspension that is missed or reported twice.
+func TestEachSuspensionIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := clocktest.New(t)
 		suspensions := clock.NewSuspensions()
 		for _, d := range []time.Duration{2 * time.Second, 5 * time.Second} {
 			time.Sleep(time.Second)
 			if slept := suspensions.Since(); slept != 0 {
-				t.Errorf("told of %v without a suspension", slept)
+				t.Errorf("reported %v without a suspension", slept)
 			}
 			machine.Suspend(d)
 			if slept := suspensions.Since(); slept != d {
-				t.Errorf("told of %v, it was %v", slept, d)
+				t.Errorf("reported %v, it was %v", slept, d)
 			}
 		}
 	})
 }
 
-// A process is paused by a stop of its own or of its machine; one that is late for want of
-// processor time is not.
-func TestPausesAreTold(t *testing.T) {
+// A stopped process or a suspended machine counts as a pause; a delay for lack of CPU time does not.
+func TestPausesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const due = 250 * time.Millisecond
 		machine := clocktest.New(t)
 		pauses := clock.NewPauses()
 		for name, step := range map[string]struct {
-			pause func()
-			told  bool
+			pause    func()
+			reported bool
 		}{
 			"in time":   {func() { time.Sleep(due) }, false},
 			"late":      {func() { time.Sleep(900 * time.Millisecond) }, false},
@@ -64,24 +63,24 @@
 			"suspended": {func() { time.Sleep(due); machine.Suspend(time.Second) }, true},
 		} {
 			step.pause()
-			if got := pauses.Since(due); got > 0 != step.told {
-				t.Errorf("%s: told of %v", name, got)
+			if got := pauses.Since(due); got > 0 != step.reported {
+				t.Errorf("%s: reported %v", name, got)
 			}
 		}
 	})
 }
 
-// TestKernelClocks: the machine of the test was not suspended since its process started,
-// and time never runs back.
+// The kernel's clocks must show no suspension of the machine while it runs the test, and time must
+// not go back.
 func TestKernelClocks(t *testing.T) {
 	if !clock.Known() {
-		t.Fatal("the kernel does not tell of suspensions")
+		t.Fatal("the kernel's clocks do not show suspensions")
 	}
 	last := clock.Now()
 	for end := time.Now().Add(100 * time.Millisecond); time.Now().Before(end); {
 		now := clock.Now()
 		if now.Before(last) {
-			t.Fatalf("%s back", last.Sub(now))
+			t.Fatalf("time went back by %s", last.Sub(now))
 		}
 		last = now
 	}
