--- a/wakeups/wakeups.go
+++ b/wakeups/wakeups.go
@@ -1,23 +1,23 @@
-// Package wakeups counts how often this process wakes by its own timers, by purpose. What an idle
-// router does grows with the fleet, and is paid for by each of its instances.
+// Package wakeups counts how often this process's timers fire, by purpose. The work of an idle router
+// grows with the fleet, and its cost is paid for each instance.
 package wakeups
 
 import "sync/atomic"
 
-// Purpose is what a timer is for.
+// Purpose identifies the use of a timer.
 type Purpose int
 
-// The purposes.
+// Purposes of timers.
 const (
-	// Beat is what is looked at regularly: the link, pauses, ejected and missing servers.
+	// Beat is for the periodic checks of the link, of pauses, and of ejected and missing servers.
 	Beat Purpose = iota
-	// Budgets is the agent of the budgets.
+	// Budgets is for the budget agent.
 	Budgets
-	// Updates is a request for updates.
+	// Updates is for requests for updates.
 	Updates
-	// Role is a check of the role in the fleet.
+	// Role is for checks of this router's role in the fleet.
 	Role
-	// Follow is a follower of the store, or one that waits to become one.
+	// Follow is for followers of the store, including those waiting for that role.
 	Follow
 
 	purposes
@@ -30,10 +30,10 @@
 
 var counts [purposes]atomic.Int64
 
-// Note counts a wake-up.
+// Note counts a wake-up for purpose p.
 func Note(p Purpose) { counts[p].Add(1) }
 
-// Counts returns the wake-ups since the start of the process.
+// Counts returns the number of wake-ups since the start of the process, by purpose.
 func Counts() map[Purpose]int64 {
 	all := make(map[Purpose]int64, purposes)
 	for p := range purposes {
