--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,6 +1,5 @@
-// Package logs writes structured log lines without ever making the process
-// wait for them: lines go through a bounded queue, and what does not fit is
-// counted and left out.
+// Package logs writes structured log lines without blocking the process: lines go
+// through a bounded queue, and lines that do not fit are dropped and counted.
 package logs
 
 import (
@@ -13,11 +12,11 @@
 )
 
 const (
-	// queued is how many lines may wait; at 300 bytes a line, 600 KB.
-	queued = 2048
-	// batch bounds the bytes of one write.
-	batch = 32 << 10
-	// sampleFirst lines of one kind a second are written whole, then one in
+	// queueCapacity is the number of lines in the queue: 600 KB at 300 bytes per line.
+	queueCapacity = 2048
+	// batchBytes is the size from which no further line is added to a write.
+	batchBytes = 32 << 10
+	// sampleFirst lines with the same level and message are written each second, then one in
 	// sampleThereafter. Only lines about requests that were served are sampled.
 	sampleFirst      = 2
 	sampleThereafter = 50
@@ -31,14 +30,14 @@
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer over out and starts its goroutine.
+// NewWriter returns a Writer that writes to out, and starts its goroutine.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queued), flush: make(chan chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), flush: make(chan chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never waits.
+// Write implements io.Writer. It never blocks and drops the line if the queue is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -48,17 +47,17 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines and failed writes.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// flushWithin bounds the wait for queued lines at the end of the process.
-const flushWithin = 200 * time.Millisecond
+// flushTimeout bounds the wait for queued lines at process exit.
+const flushTimeout = 200 * time.Millisecond
 
-// Sync writes what is queued. It is called at the end of the process and gives
-// up when the reader of the logs does not read.
+// Sync writes the queued lines. It is called at process exit and returns after a timeout if the
+// reader of the logs is stalled.
 func (w *Writer) Sync() error {
 	done := make(chan struct{})
-	timer := time.NewTimer(flushWithin)
+	timer := time.NewTimer(flushTimeout)
 	defer timer.Stop()
 	select {
 	case w.flush <- done:
@@ -86,10 +85,10 @@
 	}
 }
 
-// write writes a line and those that wait behind it. An error has nowhere to
-// be told; it counts as a line left out.
+// write writes a line together with queued ones. An error cannot be logged, so it
+// counts as a dropped line.
 func (w *Writer) write(line []byte) {
-	for len(line) < batch && len(w.lines) > 0 {
+	for len(line) < batchBytes && len(w.lines) > 0 {
 		line = append(line, <-w.lines...)
 	}
 	if _, err := w.out.Write(line); err != nil {
@@ -101,11 +100,11 @@
 type Loggers struct {
 	// All writes every line.
 	All *zap.Logger
-	// Sampled writes a part of the lines; it is for requests that were served.
+	// Sampled writes a sample of the lines; it is for requests that were served.
 	Sampled *zap.Logger
 }
 
-// New returns JSON loggers over w.
+// New returns loggers that write JSON lines to w.
 func New(w *Writer, level zapcore.Level) Loggers {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/logs/messages_test.go
+++ b/logs/messages_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// messagesOf returns the messages that the code of the repository logs.
+// messagesOf returns the constant log messages in the Go code below root, tests excluded.
 func messagesOf(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	logged := map[string]bool{}
@@ -26,7 +26,7 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if message, ok := loggedBy(n); ok {
+			if message, ok := loggedMessage(n); ok {
 				logged[message] = true
 			}
 			return true
@@ -39,8 +39,8 @@
 	return logged
 }
 
-// loggedBy returns the message of a call of a logger with a constant message.
-func loggedBy(n ast.Node) (string, bool) {
+// loggedMessage returns the constant message of a logger call.
+func loggedMessage(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
 		return "", false
@@ -62,11 +62,11 @@
 	return message, err == nil
 }
 
-// renamedRow is a row of the table of renamed messages.
+// renamedRow matches a row of a table of renamed messages or metrics.
 var renamedRow = regexp.MustCompile(`(?m)^\| ([^|]+) \| ([^|]+) \|$`)
 
-// Guards against a page for operators that names log messages which the code does not write, and
-// against old messages that are written still.
+// Guards against an operations page that lists log messages which the code does not write, and
+// against old messages that are still written.
 func TestRenamedMessagesAreThoseOfTheCode(t *testing.T) {
 	logged := messagesOf(t, "..")
 	if len(logged) < 30 {
@@ -78,7 +78,7 @@
 	}
 	for _, row := range renamed(t, string(page), "### Renamed log messages") {
 		if old := row[1]; logged[old] {
-			t.Errorf("%q is logged still", old)
+			t.Errorf("%q is still logged", old)
 		}
 		if now := row[2]; !logged[now] {
 			t.Errorf("%q is not logged", now)
@@ -86,7 +86,7 @@
 	}
 }
 
-// renamed returns the rows of a table of old and new names below a heading, without its head.
+// renamed returns the rows of the table of old and new names below a heading, without its header row.
 func renamed(t *testing.T, page, heading string) [][]string {
 	t.Helper()
 	_, table, found := strings.Cut(page, heading+"\n")
@@ -101,8 +101,8 @@
 	return rows[1:]
 }
 
-// Guards against a page for operators that names metrics or labels which are not served, and
-// against old ones that are served still.
+// Guards against an operations page that lists metrics or labels which are not served, and against
+// old ones that are still served.
 func TestRenamedMetricsAreThoseOfTheCode(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	for _, row := range renamed(t, string(page), "### Renamed metrics") {
 		if served(row[1]) {
-			t.Errorf("%s is served still", row[1])
+			t.Errorf("%s is still served", row[1])
 		}
 		if !served(row[2]) {
 			t.Errorf("%s is not served", row[2])
@@ -129,7 +129,7 @@
 	}
 }
 
-// example is a log line that the page shows.
+// example matches a log message in an example on the page.
 var example = regexp.MustCompile(`(?m)^    "([a-z][^"]*)",`)
 
 // Guards against examples of log lines that the code does not write.
--- a/logs/sparse.go
+++ b/logs/sparse.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Sparse bounds how often a line is written that many events would write. The zero value has
-// written none. It is safe for concurrent use.
+// Sparse limits the rate of a log line that many events would write. The zero value is ready to
+// use. It is safe for concurrent use.
 type Sparse struct {
-	mu        sync.Mutex
-	writtenAt time.Time
-	leftOut   int64
+	mu         sync.Mutex
+	writtenAt  time.Time
+	suppressed int64
 }
 
-// Due tells whether a line is due, with at least so long between two of them, and how many
-// were left out since the last one.
-func (s *Sparse) Due(now time.Time, every time.Duration) (leftOut int64, due bool) {
+// Due reports whether a line may be written, with at least the duration every between two lines, and
+// returns the number of lines suppressed since the last one.
+func (s *Sparse) Due(now time.Time, every time.Duration) (suppressed int64, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.writtenAt) < every {
-		s.leftOut++
+		s.suppressed++
 		return 0, false
 	}
-	leftOut = s.leftOut
-	s.writtenAt, s.leftOut = now, 0
-	return leftOut, true
+	suppressed = s.suppressed
+	s.writtenAt, s.suppressed = now, 0
+	return suppressed, true
 }
