--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -1,8 +1,8 @@
-// Package changelog keeps the recent changes of a replicated set of objects, so that a replica
-// that is behind is sent the difference and not the whole set.
+// Package changelog keeps the recent changes of a replicated set of objects, so that a replica that
+// lags behind is sent the changes and not the whole set.
 //
-// Replicas name what they have by a revision of the store. It means the same at every router, so
-// that a router that turns to another source of updates goes on from where it is.
+// Replicas identify their state by a revision of the store. A revision means the same at every
+// router, so a router that switches to another source of updates continues from its revision.
 package changelog
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// Received is an object, or its deletion, and how long ago the store sent it, to whichever router.
+// Received is an object or its deletion. Age is the time since the store sent it to any router.
 type Received struct {
 	store.Object
 	Age time.Duration
 }
 
-// Fresh returns objects that the store has sent just now.
+// Fresh returns objects that the store has just sent, with an age of 0.
 func Fresh(objects []store.Object) []Received {
 	list := make([]Received, 0, len(objects))
 	for _, o := range objects {
@@ -34,17 +34,17 @@
 	slices.SortFunc(all, func(a, b Received) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// leastHeld is how many changes are held at least.
-const leastHeld = 1024
+// minRetained is the number of changes retained regardless of the size of the set.
+const minRetained = 1024
 
-// Log holds changes in the order of the revisions at which they were complete. The zero value
-// knows nothing. It is not safe for concurrent use.
+// Log holds changes in the order of the revisions at which they became complete. The zero value
+// holds none and has no revision. It is not safe for concurrent use.
 type Log[T any] struct {
-	held []change[T]
-	// pending is how many of the last changes belong to no revision yet.
+	retained []change[T]
+	// pending is the number of newest changes that have no revision yet.
 	pending int
 	// complete is the revision up to which all changes are known, and floor the one after which
-	// all of them are held; 0: the set was not read yet.
+	// all of them are retained; 0 if the set was not read yet.
 	complete, floor int64
 }
 
@@ -55,63 +55,64 @@
 	revision int64
 }
 
-// Add adds a change of the object key. It counts for the revision of the next Advance.
+// Add appends a change of the object key. It gets the revision of the next Advance.
 func (l *Log[T]) Add(key string, value T) {
-	l.held = append(l.held, change[T]{key: key, value: value})
+	l.retained = append(l.retained, change[T]{key: key, value: value})
 	l.pending++
 }
 
-// Advance notes that all changes up to a revision were added. An older revision than the known
-// one takes nothing back.
+// Advance records that all changes up to a revision were added. A revision older than the current
+// one does not lower it.
 func (l *Log[T]) Advance(revision int64) {
 	l.complete = max(l.complete, revision)
 	for n := range l.pending {
-		l.held[len(l.held)-1-n].revision = l.complete
+		l.retained[len(l.retained)-1-n].revision = l.complete
 	}
 	l.pending = 0
 }
 
-// Reset drops all changes: the whole set was read as it was at a revision.
+// Reset drops all changes after the whole set was read at the given revision.
 func (l *Log[T]) Reset(revision int64) {
-	l.held, l.pending = nil, 0
+	l.retained, l.pending = nil, 0
 	l.complete, l.floor = revision, revision
 }
 
-// Trim drops the oldest changes where more are held than a replica would read in a set of so many
-// objects.
+// Trim drops the oldest changes if more are retained than the set has objects, and more than
+// minRetained: a replica that far behind reads less by reading the whole set.
 func (l *Log[T]) Trim(objects int) {
-	most := max(objects, leastHeld)
-	if len(l.held)-l.pending <= most {
+	most := max(objects, minRetained)
+	if len(l.retained)-l.pending <= most {
 		return
 	}
-	drop := len(l.held) - l.pending - most/2
-	l.floor = l.held[drop-1].revision
-	l.held = slices.Clone(l.held[drop:])
+	drop := len(l.retained) - l.pending - most/2
+	l.floor = l.retained[drop-1].revision
+	l.retained = slices.Clone(l.retained[drop:])
 }
 
-// Revision returns the revision up to which all changes are known; 0: none is.
+// Revision returns the revision up to which all changes are known; 0 if none is.
 func (l *Log[T]) Revision() int64 { return l.complete }
 
 // Changes are the changes of a set after a revision.
 type Changes[T any] struct {
-	// Values are the changes in their order, of each object the last one.
+	// Values are the changes in order, with only the last one of each object.
 	Values []T
-	// UpTo is the revision up to which these are all.
+	// UpTo is the revision up to which Values is complete.
 	UpTo int64
-	// More tells that there are further changes after UpTo.
+	// More is set if there are further changes after UpTo.
 	More bool
 }
 
-// Since returns the changes after a revision, at most so many and those that belong to the same
-// revision as the last of them; false: they are not held any more. A replica that is ahead lacks
-// nothing. As long as there are more, the same changes are returned after the same revision.
-func (l *Log[T]) Since(revision int64, most int) (Changes[T], bool) {
+// Since returns the changes after a revision: at most the given number, plus those with the same
+// revision as the last of them. It returns false if they are no longer retained. For a replica that
+// is ahead it returns no changes. While More is set, calls with the same arguments return the same
+// changes.
+func (l *Log[T]) Since(revision int64, limit int) (Changes[T], bool) {
 	if l.floor == 0 || revision < l.floor {
 		return Changes[T]{UpTo: l.complete}, false
 	}
-	done := l.held[:len(l.held)-l.pending]
+	done := l.retained[:len(l.retained)-l.pending]
 	first := sort.Search(len(done), func(n int) bool { return done[n].revision > revision })
-	end := min(first+most, len(done))
+	end := min(first+limit, len(done))
 	for end > first && end < len(done) && done[end].revision == done[end-1].revision {
 		end++
 	}
--- a/changelog/changelog_test.go
+++ b/changelog/changelog_test.go
@@ -35,8 +35,8 @@
 }
 
 // follow brings a replica up to date from another one.
-func (s *set) follow(source *set, most int) {
-	changes, ok := source.log.Since(s.log.Revision(), most)
+func (s *set) follow(source *set, limit int) {
+	changes, ok := source.log.Since(s.log.Revision(), limit)
 	if !ok {
 		s.objects = maps.Clone(source.objects)
 		s.log.Reset(source.log.Revision())
@@ -49,8 +49,8 @@
 	s.log.Trim(len(s.objects))
 }
 
-// TestReplicaFollowsWhicheverSourceItTurnsTo plays replicas of one set that follow the store or
-// each other in any order: each has what the store had at its own revision.
+// Replicas of one set follow the store or each other in any order; each must hold the state that the
+// store had at the replica's revision.
 func TestReplicaFollowsWhicheverSourceItTurnsTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const replicas = 4
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestChangesAreHeldUpToTheSizeOfTheSet(t *testing.T) {
+func TestChangesAreRetainedUpToTheSizeOfTheSet(t *testing.T) {
 	for _, objects := range []int{10, 5000} {
 		var l changelog.Log[int]
 		l.Reset(1)
@@ -105,7 +105,7 @@
 func TestOnlyTheLastChangeOfAnObjectIsSent(t *testing.T) {
 	var l changelog.Log[string]
 	if _, ok := l.Since(0, 9); ok {
-		t.Error("a log that knows nothing sends changes")
+		t.Error("an empty log sends changes")
 	}
 	l.Reset(10)
 	for _, c := range []string{"a1", "b1", "a2"} {
@@ -130,11 +130,12 @@
 	}
 	l.Advance(5)
 	if l.Revision() != 12 {
-		t.Errorf("an older revision takes back what is known: %d", l.Revision())
+		t.Errorf("an older revision lowers the log's revision: %d", l.Revision())
 	}
 }
 
-// Guards against a replica that is sent a part of the changes of a revision and goes on after it.
+// Guards against a replica that is sent only some changes of a revision and continues after that
+// revision.
 func TestPartOfTheChangesEndsWithARevision(t *testing.T) {
 	var l changelog.Log[int]
 	l.Reset(1)
