--- a/packed/packed.go
+++ b/packed/packed.go
@@ -1,6 +1,5 @@
-// Package packed compresses what routers tell each other in bulk: lists and
-// configurations repeat their names many times, and a small router's link takes a
-// second for a megabyte.
+// Package packed compresses bulk data sent between routers. Lists and configurations
+// repeat their names many times, and a megabyte takes a second on a small router's link.
 package packed
 
 import (
@@ -12,10 +11,10 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrTooLarge means that a text is larger when unpacked than its reader allows.
+// ErrTooLarge is returned by Unpack if the decompressed text exceeds the limit.
 var ErrTooLarge = errors.New("packed: larger than allowed")
 
-// Pack returns a text compressed.
+// Pack returns the compressed text.
 func Pack(text []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -31,7 +30,8 @@
 	return out.Bytes(), nil
 }
 
-// Unpack returns the text that Pack was given, if it has at most limit bytes.
+// Unpack returns the text that was passed to Pack. It returns ErrTooLarge if that has more than
+// limit bytes.
 func Unpack(packed []byte, limit int64) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), limit+1))
 	if err != nil {
--- a/packed/packed_test.go
+++ b/packed/packed_test.go
@@ -10,7 +10,7 @@
 	"github.com/gaplink/gaplink/packed"
 )
 
-func TestTextComesBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.Byte()).Draw(t, "text")
 		p, err := packed.Pack(text)
@@ -24,7 +24,7 @@
 	})
 }
 
-// TestLimitOfUnpackedText: a few bytes may unpack to gigabytes.
+// Guards against a small input that decompresses to gigabytes.
 func TestLimitOfUnpackedText(t *testing.T) {
 	p, err := packed.Pack(make([]byte, 1<<20))
 	if err != nil {
@@ -34,6 +34,6 @@
 		t.Errorf("unpacked beyond the limit: %v", err)
 	}
 	if _, err := packed.Unpack([]byte("no such thing"), 100); err == nil {
-		t.Error("unpacked what was never packed")
+		t.Error("unpacked invalid input")
 	}
 }
