--- a/guard/guard.go
+++ b/guard/guard.go
@@ -1,9 +1,8 @@
-// Package guard keeps bad input from ending the process that reads it.
+// Package guard converts panics on bad input into errors.
 //
-// What lies in the store, and what other routers tell, is read by every router, and again
-// by each that has started anew: a panic there ends one router after the other. Read
-// through this package it is an error, as other bad input is. Pure functions only: what a
-// panic leaves half done must be of no use to anybody.
+// Data in the store and from other routers is read by every router, and again after each
+// restart, so a panic while reading it would end one router after the other. Functions called
+// through this package must have no side effects, since a panic may interrupt them half-way.
 package guard
 
 import (
@@ -11,16 +10,16 @@
 	"runtime/debug"
 )
 
-// Panic is the error of a function that panicked.
+// Panic is the error returned for a function that panicked.
 type Panic struct {
 	Value any
 	Stack []byte
 }
 
-// Error implements error. The stack is part of it, since logs print errors alone.
+// Error implements error. The text includes the stack, since logs print only the error.
 func (p *Panic) Error() string { return fmt.Sprintf("panic: %v\n%s", p.Value, p.Stack) }
 
-// Call calls a function and returns what it does, or a *Panic.
+// Call calls fn and returns its results, or a *Panic error if it panics.
 func Call[T any](fn func() (T, error)) (value T, err error) {
 	defer func() {
 		if r := recover(); r != nil {
