--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait holds the one way in which gaplink's processes pause.
+// Package wait provides a sleep that ends with its context. gaplink's processes use it instead of
+// a timer of their own.
 package wait
 
 import (
@@ -6,9 +7,9 @@
 	"time"
 )
 
-// For waits for d, or until the context ends, whose error it then returns; a
-// caller that goes on by the context itself need not look at it. It
-// does not wait for a time of 0 or less.
+// For waits for d or until ctx is done, and returns the context's error in the latter case.
+// Callers that check ctx themselves may ignore the error. If d is 0 or less, For returns nil
+// at once.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
