--- a/router/callers.go
+++ b/router/callers.go
@@ -16,11 +16,11 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// elsewhere is when to come back, at another router.
-const elsewhere = time.Second
+// retryElsewhereAfter is the Retry-After value of refusals that another router can serve.
+const retryElsewhereAfter = time.Second
 
-// callerApp builds the HTTP side that callers and the balancer see.
-func (r *Router) callerApp() (http.Handler, error) {
+// callerHandler returns the HTTP handler for callers and the load balancer.
+func (r *Router) callerHandler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
 	app.Post("/v1/chat/completions", func(ctx iris.Context) {
@@ -37,7 +37,8 @@
 	return app, nil
 }
 
-// healthz is what the balancer asks: 200 while the router wants new work.
+// healthz answers the load balancer's health check: 200 while the router accepts new
+// requests, 503 otherwise.
 func (r *Router) healthz(ctx iris.Context) {
 	if r.leaving.Load() || !r.Ready() {
 		ctx.StatusCode(http.StatusServiceUnavailable)
@@ -49,8 +50,7 @@
 	})
 }
 
-// serve passes one request through the chain and tells the caller of an
-// error.
+// serve runs one request through the filter chain and sends any error to the caller.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request, kind table.PoolKind, path string) {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
@@ -67,29 +67,29 @@
 	if err == nil {
 		err = r.chain.Serve(req.Context(), x)
 	}
-	r.end(x, err)
+	r.finishRequest(x, err)
 	if err != nil && x.Answered {
-		// A handler that returns ends the answer by a proper last chunk, and a
-		// caller who goes by that takes what came so far as the whole answer.
+		// Returning normally would send the final chunk, so a caller that relies on
+		// HTTP framing would take the partial response as complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit refuses requests that this router must not take now.
+// admit returns an error if this router must not accept requests now.
 func (r *Router) admit() error {
 	switch {
 	case r.refusing.Load():
-		return result.New(result.Leaving, "this router is stopping").After(elsewhere)
+		return result.New(result.Leaving, "this router is stopping").After(retryElsewhereAfter)
 	case !r.Ready():
-		return result.New(result.Starting, "this router has not yet read its configuration").After(elsewhere)
-	case r.pauses.paused(clock.Now()):
-		return result.New(result.Paused, "this router was paused").After(elsewhere)
+		return result.New(result.Starting, "this router has not yet read its configuration").After(retryElsewhereAfter)
+	case r.pauseDetector.paused(clock.Now()):
+		return result.New(result.Paused, "this router was paused").After(retryElsewhereAfter)
 	}
 	return nil
 }
 
-// end answers a failure, and logs and counts the request.
-func (r *Router) end(x *filter.Exchange, err error) {
+// finishRequest sends the error response, if any, and logs and counts the request.
+func (r *Router) finishRequest(x *filter.Exchange, err error) {
 	code := result.OK
 	if err != nil {
 		e := result.From(err)
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -37,12 +37,14 @@
 	RunSpecs(t, "router")
 }
 
-// patience bounds what must come at some time; no test asserts how soon.
-const patience = 20 * time.Second
+// eventualTimeout limits the wait for conditions that must eventually hold; no test
+// asserts how soon.
+const eventualTimeout = 20 * time.Second
 
-const opKey = "test-operator-key"
+const operatorKey = "test-operator-key"
 
-// fleet is a few routers in this process over stand-ins on loopback.
+// fleet runs routers in this process against fakes of the platform and the backend
+// servers on loopback.
 type fleet struct {
 	platform *standin.Platform
 	store    *httptest.Server
@@ -64,31 +66,31 @@
 	}
 	f.engine = f.engines[0]
 	for i := range n {
-		f.add(i + 1)
+		f.addRouter(i + 1)
 	}
-	f.furnish()
+	f.createObjects()
 	return f
 }
 
-// add starts a router and lists it.
-func (f *fleet) add(n int) {
+// addRouter starts router number n, counted from 1, and registers it with the platform.
+func (f *fleet) addRouter(n int) {
 	s := settings.Default()
 	s.Instance.ID, s.Instance.Domain = fmt.Sprintf("r%d", n), fmt.Sprintf("fd%d", n)
 	s.Instance.FenceAfter = settings.Duration(time.Second)
 	s.Listen = settings.Listen{Callers: freeAddr(), Peers: freeAddr()}
 	s.Platform.URL = f.store.URL
 	s.Platform.ListEvery = settings.Duration(100 * time.Millisecond)
-	s.Operator.KeyHash = authenticate.Hash(opKey)
+	s.Operator.KeyHash = authenticate.Hash(operatorKey)
 	s.Requests.MaxBodyBytes = 4096
 	s.Requests.MaxTokens = 1000
 	s.Requests.LeaveGrace = settings.Duration(50 * time.Millisecond)
 	s.Table.AckWithin = settings.Duration(2 * time.Second)
 	f.settings = append(f.settings, s)
 	f.routers = append(f.routers, nil)
-	f.start(n - 1)
+	f.startRouter(n - 1)
 }
 
-func (f *fleet) start(i int) {
+func (f *fleet) startRouter(i int) {
 	s := f.settings[i]
 	f.platform.SetInstance(membership.Member{ID: s.Instance.ID, Kind: "router", Addr: s.Listen.Peers, Domain: s.Instance.Domain, State: membership.Live})
 	r, err := router.New(s, zap.NewNop())
@@ -96,7 +98,7 @@
 	Expect(r.Start()).To(Succeed())
 	f.routers[i] = r
 	DeferCleanup(r.Kill)
-	Eventually(r.Ready, patience).Should(BeTrue())
+	Eventually(r.Ready, eventualTimeout).Should(BeTrue())
 }
 
 func freeAddr() string {
@@ -112,7 +114,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func (f *fleet) furnish() {
+func (f *fleet) createObjects() {
 	Expect(f.admin(0, admin.AccountCreate, admin.AccountArgs{ID: "acme"}, nil)).To(Succeed())
 	Expect(f.admin(0, admin.BudgetCreate, admin.BudgetArgs{ID: "main", Account: "acme", Tokens: 100000}, nil)).To(Succeed())
 	Expect(f.admin(0, admin.BudgetCreate, admin.BudgetArgs{ID: "small", Account: "acme", Tokens: 50}, nil)).To(Succeed())
@@ -131,7 +133,7 @@
 	}
 	Expect(f.admin(0, admin.TableSet, admin.TableSetArgs{Row: "*/tagger/old", Assignments: []string{"weight=10"}}, nil)).To(Succeed())
 	for i := range f.routers {
-		Eventually(func() int64 { return f.revision(i) }, patience).Should(Equal(f.revision(0)))
+		Eventually(func() int64 { return f.revision(i) }, eventualTimeout).Should(Equal(f.revision(0)))
 	}
 }
 
@@ -141,22 +143,22 @@
 	return s.Revision
 }
 
-// admin gives an operator's command to a router.
+// admin sends an operator command to a router.
 func (f *fleet) admin(i int, command string, args, into any) error {
 	body, err := json.Marshal(args)
 	Expect(err).NotTo(HaveOccurred())
 	p := peer.NewClient(peer.Options{DialTimeout: time.Second})
 	defer func() { _ = p.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 	defer cancel()
-	resp, err := peer.Call[peer.AdminRequest, peer.AdminAnswer](ctx, p, f.settings[i].Listen.Peers, peer.MethodAdmin, &peer.AdminRequest{Operator: "test", Key: opKey, Command: command, Args: body})
+	resp, err := peer.Call[peer.AdminRequest, peer.AdminAnswer](ctx, p, f.settings[i].Listen.Peers, peer.MethodAdmin, &peer.AdminRequest{Operator: "test", Key: operatorKey, Command: command, Args: body})
 	if err != nil || into == nil {
 		return err
 	}
 	return json.Unmarshal(resp.Result, into)
 }
 
-// incarnation asks a router which process runs there.
+// incarnation queries a router for its incarnation.
 func (f *fleet) incarnation(i int) string {
 	var who *peer.WhoAnswer
 	Expect(f.peer(i, func(ctx context.Context, c *peer.Client, addr string) (err error) {
@@ -166,7 +168,7 @@
 	return who.Incarnation
 }
 
-// fence raises the barrier against an incarnation at a router.
+// fence tells a router to fence off an incarnation.
 func (f *fleet) fence(i int, incarnation string) error {
 	return f.peer(i, func(ctx context.Context, c *peer.Client, addr string) error {
 		_, err := peer.Call[peer.BarrierRequest, peer.Empty](ctx, c, addr, peer.MethodBarrier, &peer.BarrierRequest{Fenced: []string{incarnation}})
@@ -178,7 +180,7 @@
 func (f *fleet) peer(i int, call func(context.Context, *peer.Client, string) error) error {
 	p := peer.NewClient(peer.Options{DialTimeout: time.Second})
 	defer func() { _ = p.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 	defer cancel()
 	return call(ctx, p, f.settings[i].Listen.Peers)
 }
@@ -210,7 +212,7 @@
 	return c
 }
 
-// reply is what came of a call.
+// reply is the outcome of a call.
 type reply struct {
 	status int
 	code   result.Code
@@ -238,8 +240,9 @@
 	return reply{status: resp.StatusCode, code: result.Code(code), notRun: resp.Header.Get(filter.HeaderNotRun) == "true", body: string(body), header: resp.Header}
 }
 
-// bills reads the billed tokens of a request's attempts from the store.
-func (f *fleet) bills(request string) []int64 {
+// billedTokens returns the billed tokens of each of a request's attempts, as recorded in
+// the store.
+func (f *fleet) billedTokens(request string) []int64 {
 	objects, _, err := f.platform.Objects().List(context.Background(), "ledger/")
 	Expect(err).NotTo(HaveOccurred())
 	var tokens []int64
@@ -257,7 +260,7 @@
 	return tokens
 }
 
-func (f *fleet) served() int64 {
+func (f *fleet) servedTokens() int64 {
 	var sum int64
 	for _, e := range f.engines {
 		for _, r := range e.Runs() {
@@ -267,15 +270,15 @@
 	return sum
 }
 
-func (f *fleet) faults(kind backend.Fault, every int) {
+func (f *fleet) setFaults(kind backend.Fault, every int) {
 	for _, e := range f.engines {
 		e.SetFaults(backend.Faults{Kind: kind, Every: every})
 	}
 	f.service.SetFaults(backend.Faults{Kind: kind, Every: every})
 }
 
-// streamed returns the text of a streamed answer and whether it is whole.
-func streamed(body string) (text string, whole bool) {
+// parseStream returns the text of a streamed response and whether its end marker arrived.
+func parseStream(body string) (text string, complete bool) {
 	for _, line := range strings.Split(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
--- a/router/pause.go
+++ b/router/pause.go
@@ -8,37 +8,38 @@
 	"github.com/gaplink/gaplink/clock"
 )
 
-// pauseWatch notices that the process was paused. A paused router may hold an
-// old configuration, so it takes no work until that is confirmed.
-type pauseWatch struct {
-	confirm func(context.Context) bool
-	started time.Time
-	last    atomic.Int64 // when the last tick was, in nanoseconds from started
-	waking  atomic.Bool  // a pause is not yet checked
+// pauseDetector detects that the process was paused. The configuration may be stale after a
+// pause, so the router refuses requests until the configuration is confirmed.
+type pauseDetector struct {
+	confirm     func(context.Context) bool
+	started     time.Time
+	lastTick    atomic.Int64 // time of the last tick, in nanoseconds since started
+	unconfirmed atomic.Bool  // the configuration is not yet confirmed after a pause
 }
 
 const (
-	// pausedAfter is the gap between ticks that counts as a pause.
-	pausedAfter = 3 * time.Second
-	pauseTick   = 100 * time.Millisecond
+	// pauseThreshold is the longest gap between ticks that does not count as a pause.
+	pauseThreshold     = 3 * time.Second
+	pauseCheckInterval = 100 * time.Millisecond
 )
 
-func newPauseWatch(confirm func(context.Context) bool) *pauseWatch {
-	return &pauseWatch{confirm: confirm, started: clock.Now()}
+func newPauseDetector(confirm func(context.Context) bool) *pauseDetector {
+	return &pauseDetector{confirm: confirm, started: clock.Now()}
 }
 
-func (p *pauseWatch) gap(now time.Time) bool {
-	return now.Sub(p.started)-time.Duration(p.last.Load()) > pausedAfter
+func (p *pauseDetector) gapExceeded(now time.Time) bool {
+	return now.Sub(p.started)-time.Duration(p.lastTick.Load()) > pauseThreshold
 }
 
-// paused tells whether the last tick is too long ago or a pause is not yet
-// checked. The order matters: tick sets waking before it moves last.
-func (p *pauseWatch) paused(now time.Time) bool {
-	return p.gap(now) || p.waking.Load()
+// paused reports whether the last tick is too old or the configuration is not yet
+// confirmed after a pause. The order of the two reads matters: tick sets unconfirmed
+// before it updates lastTick.
+func (p *pauseDetector) paused(now time.Time) bool {
+	return p.gapExceeded(now) || p.unconfirmed.Load()
 }
 
-func (p *pauseWatch) run(ctx context.Context) {
-	ticker := time.NewTicker(pauseTick)
+func (p *pauseDetector) run(ctx context.Context) {
+	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -50,12 +51,12 @@
 	}
 }
 
-func (p *pauseWatch) tick(ctx context.Context, now time.Time) {
-	if p.gap(now) {
-		p.waking.Store(true)
+func (p *pauseDetector) tick(ctx context.Context, now time.Time) {
+	if p.gapExceeded(now) {
+		p.unconfirmed.Store(true)
 	}
-	p.last.Store(int64(now.Sub(p.started)))
-	if p.waking.Load() && p.confirm(ctx) {
-		p.waking.Store(false)
+	p.lastTick.Store(int64(now.Sub(p.started)))
+	if p.unconfirmed.Load() && p.confirm(ctx) {
+		p.unconfirmed.Store(false)
 	}
 }
--- a/router/pause_test.go
+++ b/router/pause_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// TestPausedUntilConfirmed: after a gap between ticks the router takes no work
-// until its configuration is confirmed, also when it is asked before the first
-// tick after the pause.
+// TestPausedUntilConfirmed checks that after a gap between ticks the router refuses
+// requests until its configuration is confirmed, including requests that arrive before
+// the first tick after the pause.
 func TestPausedUntilConfirmed(t *testing.T) {
 	confirmed := false
-	p := newPauseWatch(func(context.Context) bool { return confirmed })
+	p := newPauseDetector(func(context.Context) bool { return confirmed })
 	now := time.Now()
 	p.tick(context.Background(), now)
 	if p.paused(now) {
-		t.Fatal("paused without a pause")
+		t.Fatal("reported as paused without a gap between ticks")
 	}
 	woken := now.Add(time.Minute)
 	if !p.paused(woken) {
-		t.Fatal("takes work right after a pause, before the first tick")
+		t.Fatal("accepts requests after a pause, before the first tick")
 	}
 	p.tick(context.Background(), woken)
 	if !p.paused(woken) {
-		t.Fatal("takes work before the configuration is confirmed")
+		t.Fatal("accepts requests before the configuration is confirmed")
 	}
 	confirmed = true
-	p.tick(context.Background(), woken.Add(pauseTick))
-	if p.paused(woken.Add(pauseTick)) {
-		t.Fatal("still paused after the confirmation")
+	p.tick(context.Background(), woken.Add(pauseCheckInterval))
+	if p.paused(woken.Add(pauseCheckInterval)) {
+		t.Fatal("still paused after the configuration was confirmed")
 	}
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -14,7 +14,8 @@
 	"github.com/gaplink/gaplink/wait"
 )
 
-// peerMux offers the router's methods to other routers and operators.
+// peerMux returns the RPC methods that the router serves to other routers and
+// operators.
 func (r *Router) peerMux() *peer.Mux {
 	m := peer.NewMux()
 	peer.Handle(m, peer.MethodBudget, r.onBudget)
@@ -87,42 +88,42 @@
 	return &peer.Empty{}, nil
 }
 
-// parameters must be the same on all instances, since they decide where
-// budgets and requests are kept.
+// parameters must be the same on all instances, since they determine the placement of
+// budgets and requests.
 type parameters struct {
 	Pages  int `json:"pages"`
 	Shards int `json:"shards"`
 }
 
 const (
-	parametersKey = "fleet/parameters"
-	joinRetry     = 300 * time.Millisecond
+	parametersKey     = "fleet/parameters"
+	joinRetryInterval = 300 * time.Millisecond
 )
 
-// join compares the settings with the fleet's, or sets them for the first
-// router, and registers this process as a holder of tokens. A router whose
-// settings differ never becomes ready.
+// join checks the settings against the fleet's stored parameters, which the first router
+// writes, and registers this process as a token holder. A router whose settings differ
+// never becomes ready.
 func (r *Router) join(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.tryJoin(ctx)
 		if err == nil {
 			r.joined.Store(true)
-			go r.verdicts.Run(ctx) // which begins by asking the others, who are known now
+			go r.verdicts.Run(ctx) // queries the other routers first, so it needs the member list
 			return
 		}
-		r.log.Info("not yet joined", zap.Error(err))
-		_ = wait.For(ctx, joinRetry)
+		r.log.Info("could not join the fleet; retrying", zap.Error(err))
+		_ = wait.For(ctx, joinRetryInterval)
 	}
 }
 
 func (r *Router) tryJoin(ctx context.Context) error {
-	mine := parameters{Pages: r.settings.Budgets.Pages, Shards: r.settings.Ledger.Shards}
-	fleet, err := r.fleetParameters(ctx, mine)
+	own := parameters{Pages: r.settings.Budgets.Pages, Shards: r.settings.Ledger.Shards}
+	fleet, err := r.fleetParameters(ctx, own)
 	if err != nil {
 		return err
 	}
-	if fleet != mine {
-		return result.New(result.ParametersMismatch, "settings %+v differ from the fleet's %+v", mine, fleet)
+	if fleet != own {
+		return result.New(result.ParametersMismatch, "settings %+v differ from the fleet's %+v", own, fleet)
 	}
 	if err := r.reclaims.Register(ctx); err != nil {
 		return err
@@ -132,11 +133,11 @@
 	return nil
 }
 
-func (r *Router) fleetParameters(ctx context.Context, mine parameters) (parameters, error) {
+func (r *Router) fleetParameters(ctx context.Context, own parameters) (parameters, error) {
 	var fleet parameters
 	o, err := r.store.Get(ctx, parametersKey)
 	if errors.Is(err, store.ErrNotFound) {
-		value, _ := json.Marshal(mine)
+		value, _ := json.Marshal(own)
 		_, _ = r.store.Create(ctx, parametersKey, value)
 		o, err = r.store.Get(ctx, parametersKey)
 	}
--- a/router/poison_test.go
+++ b/router/poison_test.go
@@ -20,48 +20,48 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// poisonBody ends each server that begins to run it.
+// poisonBody crashes every server that starts to process it.
 const poisonBody = "a body that ends servers"
 
-// backAfter is how long the address of a server that ended is dead.
-const backAfter = 2500 * time.Millisecond
+// restartDelay is how long the address of a crashed server refuses connections.
+const restartDelay = 2500 * time.Millisecond
 
-// mortal is a plain service whose process ends under a poison request and is back a
-// while later at the same address.
-type mortal struct {
+// crashingServer is a plain service that crashes on a poison request and restarts after
+// restartDelay at the same address.
+type crashingServer struct {
 	service http.Handler
 
-	mu   sync.Mutex
-	addr string
-	web  *http.Server
-	ends int
+	mu      sync.Mutex
+	addr    string
+	server  *http.Server
+	crashes int
 }
 
-func newMortal(service http.Handler) *mortal {
-	m := &mortal{service: service, addr: "127.0.0.1:0"}
-	m.open()
+func newCrashingServer(service http.Handler) *crashingServer {
+	m := &crashingServer{service: service, addr: "127.0.0.1:0"}
+	m.listen()
 	DeferCleanup(func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		_ = m.web.Close()
+		_ = m.server.Close()
 	})
 	return m
 }
 
-func (m *mortal) open() {
+func (m *crashingServer) listen() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l, err := net.Listen("tcp", m.addr)
 	if err != nil {
-		return // the test is over, and its port another's
+		return // the test has ended and another process may own the port
 	}
 	m.addr = l.Addr().String()
-	m.web = &http.Server{Handler: m}
-	go func(web *http.Server) { _ = web.Serve(l) }(m.web)
+	m.server = &http.Server{Handler: m}
+	go func(web *http.Server) { _ = web.Serve(l) }(m.server)
 }
 
 // ServeHTTP implements http.Handler.
-func (m *mortal) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *crashingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if string(body) != poisonBody {
 		r.Body = io.NopCloser(bytes.NewReader(body))
@@ -70,27 +70,27 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ends++
-	_ = m.web.Close()
-	time.AfterFunc(backAfter, m.open)
+	m.crashes++
+	_ = m.server.Close()
+	time.AfterFunc(restartDelay, m.listen)
 }
 
 var _ = Describe("a request that ends each server which runs it", func() {
 	It("is held back at all routers after the third, until an operator lifts the verdict", func() {
 		f := newFleet(2)
-		var servers []*mortal
+		var servers []*crashingServer
 		pool := table.Pool{Name: "s", Kind: table.Service, Target: "lookup", Site: "old"}
 		for i := range 6 {
-			m := newMortal(f.service)
+			m := newCrashingServer(f.service)
 			servers = append(servers, m)
 			pool.Servers = append(pool.Servers, table.Server{ID: fmt.Sprint("m", i), Addr: m.addr})
 		}
 		Expect(f.admin(0, admin.PoolSet, admin.PoolArgs{Pool: pool}, nil)).To(Succeed())
-		Eventually(func() int64 { return f.revision(1) }, patience).Should(Equal(f.revision(0)))
-		ends := func() (n int) {
+		Eventually(func() int64 { return f.revision(1) }, eventualTimeout).Should(Equal(f.revision(0)))
+		totalCrashes := func() (n int) {
 			for _, m := range servers {
 				m.mu.Lock()
-				n += m.ends
+				n += m.crashes
 				m.mu.Unlock()
 			}
 			return n
@@ -108,17 +108,17 @@
 			send(n % 2)
 			time.Sleep(300 * time.Millisecond)
 		}
-		Expect(ends()).To(And(BeNumerically(">=", 3), BeNumerically("<=", 4)))
+		Expect(totalCrashes()).To(And(BeNumerically(">=", 3), BeNumerically("<=", 4)))
 		heldBack := strconv.Itoa(int(result.HeldBack))
 		Expect([]string{send(0), send(1)}).To(Equal([]string{heldBack, heldBack}))
 
 		var list []verdicts.Listed
 		Expect(f.admin(1, verdicts.CommandList, struct{}{}, &list)).To(Succeed())
 		Expect(list).To(HaveLen(1))
-		before := ends()
+		before := totalCrashes()
 		Expect(f.admin(1, verdicts.CommandLift, verdicts.LiftArgs{Fingerprint: list[0].Fingerprint}, nil)).To(Succeed())
 		time.Sleep(300 * time.Millisecond)
 		Expect(send(0)).NotTo(Equal(heldBack))
-		Expect(ends()).To(BeNumerically(">", before))
+		Expect(totalCrashes()).To(BeNumerically(">", before))
 	})
 })
--- a/router/router.go
+++ b/router/router.go
@@ -1,11 +1,11 @@
-// Package router is the gaplink router as a library: the filter chain for
+// Package router implements the gaplink router as a library: the filter chain for
 // requests and the controllers for state, with an explicit life cycle.
 //
 //	r, err := router.New(settings, logger) // provision and validate
 //	err = r.Start()
-//	r.Stop(ctx) // a planned stop
+//	r.Stop(ctx) // graceful shutdown
 //
-// cmd/gaplinkd is a thin daemon over it.
+// cmd/gaplinkd is a thin daemon around this package.
 package router
 
 import (
@@ -56,12 +56,12 @@
 )
 
 const (
-	// peerDialTimeout bounds a connection to another router.
+	// peerDialTimeout limits connecting to another router.
 	peerDialTimeout = 300 * time.Millisecond
-	// flushWithin bounds the return of grants and bills at a planned stop.
-	flushWithin = 10 * time.Second
-	// callersWithin bounds the sending of the last bytes to callers.
-	callersWithin = 3 * time.Second
+	// flushTimeout limits returning grants and writing billing records at shutdown.
+	flushTimeout = 10 * time.Second
+	// callerShutdownTimeout limits sending the last bytes of responses to callers.
+	callerShutdownTimeout = 3 * time.Second
 )
 
 // Router is one router process. Use New.
@@ -75,32 +75,32 @@
 	engines *engine.Client
 	peers   *peer.Client
 
-	members  *members.Controller
-	tables   *tables.Controller
-	budgets  *budgets.Controller
-	ledgers  *ledgers.Controller
-	health   *health.Controller
-	reclaims *reclaims.Controller
-	verdicts *verdicts.Controller
-	probes   *upstream.Pool
-	admin    *admin.Server
-	chain    filter.Handler
-	pauses   *pauseWatch
-
-	callers  net.Listener
-	peerSide net.Listener
-	http     *http.Server
-	cancel   context.CancelFunc
-	inFlight atomic.Int64
-	leaving  atomic.Bool
-	refusing atomic.Bool
-	joined   atomic.Bool
-	stopped  sync.Once
-	fenced   chan struct{}
+	members       *members.Controller
+	tables        *tables.Controller
+	budgets       *budgets.Controller
+	ledgers       *ledgers.Controller
+	health        *health.Controller
+	reclaims      *reclaims.Controller
+	verdicts      *verdicts.Controller
+	probes        *upstream.Pool
+	admin         *admin.Server
+	chain         filter.Handler
+	pauseDetector *pauseDetector
+
+	callerListener net.Listener
+	peerListener   net.Listener
+	http           *http.Server
+	cancel         context.CancelFunc
+	inFlight       atomic.Int64
+	leaving        atomic.Bool
+	refusing       atomic.Bool
+	joined         atomic.Bool
+	stopped        sync.Once
+	fenced         chan struct{}
 }
 
-// New builds a router from checked settings. It binds no address and starts
-// nothing.
+// New returns a router for validated settings. It binds no address and starts no
+// work.
 func New(s settings.Settings, log *zap.Logger) (*Router, error) {
 	r := &Router{
 		settings:    s,
@@ -115,7 +115,7 @@
 	return r, nil
 }
 
-// provision builds the controllers and the chain.
+// provision builds the controllers and the filter chain.
 func (r *Router) provision() {
 	s := r.settings
 	platform := httpstore.New(s.Platform.URL, s.Platform.Timeout.Std())
@@ -139,7 +139,7 @@
 	r.probes = upstream.New(upstream.Options{DialTimeout: probeTimeout, IdleTimeout: probeTimeout})
 	r.verdicts = verdicts.New(verdicts.Options{
 		Checker: r.probes,
-		Servers: staying{r.health},
+		Servers: activeServers{r.health},
 		Fleet:   verdicts.Over{Audience: spread.Audience{Members: r.members}, Client: r.peers},
 		Store:   r.store,
 		Log:     r.log,
@@ -148,20 +148,21 @@
 	r.tables.OnChange(r.health.SetState)
 	r.tables.OnChange(func(st *table.State) { r.metrics.Revision.Set(float64(st.Revision)) })
 	r.members.OnList(r.health.SetList)
-	r.pauses = newPauseWatch(r.tables.Confirm)
+	r.pauseDetector = newPauseDetector(r.tables.Confirm)
 	r.chain = r.buildChain()
 	r.registerCounters()
 }
 
-// probeTimeout bounds the connection by which a server's process is looked for, and how
-// long it is kept: the engines' client has connections of its own.
+// probeTimeout limits both dialing a backend server to check that its process runs, and
+// the idle time of that connection. Requests use the engine client's own connections.
 const probeTimeout = 250 * time.Millisecond
 
-// staying tells which backend servers are not leaving.
-type staying struct{ health *health.Controller }
+// activeServers implements verdicts.Servers. It reports which backend servers are not
+// draining.
+type activeServers struct{ health *health.Controller }
 
 // TakesWork implements verdicts.Servers.
-func (s staying) TakesWork(in placement.Incarnation) bool {
+func (s activeServers) TakesWork(in placement.Incarnation) bool {
 	return !slices.Contains(s.health.Leaving(), in.ID)
 }
 
@@ -187,7 +188,7 @@
 	return cfg
 }
 
-// buildChain links the filters, last to first.
+// buildChain links the filters from last to first.
 func (r *Router) buildChain() filter.Handler {
 	q := r.settings.Requests
 	var h filter.Handler = forward.New(r.tables, r.health, r.engines, r.verdicts, r.metrics, newRand(), forward.Options{
@@ -216,16 +217,16 @@
 	r.metrics.Counter("gaplink_peer_calls_total", "Calls to other routers.", func() float64 { return float64(r.peers.Calls()) })
 }
 
-// Start binds the addresses and starts serving. A router that finds no store
-// starts all the same and refuses requests as "not run" until it has read its
+// Start opens the listeners and starts serving. If the store is unreachable, the router
+// starts nevertheless and refuses requests as "not run" until it has read its
 // configuration.
 func (r *Router) Start() error {
 	var err error
-	if r.callers, err = net.Listen("tcp", r.settings.Listen.Callers); err != nil {
+	if r.callerListener, err = net.Listen("tcp", r.settings.Listen.Callers); err != nil {
 		return trace.Wrap(err, "listen.callers")
 	}
-	if r.peerSide, err = net.Listen("tcp", r.settings.Listen.Peers); err != nil {
-		_ = r.callers.Close()
+	if r.peerListener, err = net.Listen("tcp", r.settings.Listen.Peers); err != nil {
+		_ = r.callerListener.Close()
 		return trace.Wrap(err, "listen.peers")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -237,46 +238,47 @@
 	go r.ledgers.Run(ctx)
 	go r.health.Run(ctx)
 	go r.reclaims.Run(ctx)
-	go r.pauses.run(ctx)
+	go r.pauseDetector.run(ctx)
 	if !clock.Known() {
-		r.log.Warn("the kernel does not tell for how long the machine was suspended; ages leave that out")
+		r.log.Warn("the kernel does not report suspend time; computed ages exclude time spent suspended")
 	}
-	go func() { _ = peer.Serve(ctx, r.peerSide, r.peerMux()) }()
+	go func() { _ = peer.Serve(ctx, r.peerListener, r.peerMux()) }()
 	return r.serveCallers()
 }
 
 func (r *Router) serveCallers() error {
-	app, err := r.callerApp()
+	app, err := r.callerHandler()
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	r.http = &http.Server{Handler: app}
 	go func() {
-		if err := r.http.Serve(r.callers); !errors.Is(err, http.ErrServerClosed) {
-			r.log.Error("caller side ended", zap.Error(err))
+		if err := r.http.Serve(r.callerListener); !errors.Is(err, http.ErrServerClosed) {
+			r.log.Error("HTTP server for callers failed", zap.Error(err))
 		}
 	}()
-	r.log.Info("started", zap.String("callers", r.callers.Addr().String()), zap.String("peers", r.peerSide.Addr().String()))
+	r.log.Info("started", zap.String("callers", r.callerListener.Addr().String()), zap.String("peers", r.peerListener.Addr().String()))
 	return nil
 }
 
-// CallersAddr returns the bound address of the caller side.
-func (r *Router) CallersAddr() string { return r.callers.Addr().String() }
+// CallersAddr returns the address of the listener for callers.
+func (r *Router) CallersAddr() string { return r.callerListener.Addr().String() }
 
-// PeersAddr returns the bound address of the peer side.
-func (r *Router) PeersAddr() string { return r.peerSide.Addr().String() }
+// PeersAddr returns the address of the listener for other routers.
+func (r *Router) PeersAddr() string { return r.peerListener.Addr().String() }
 
 // Revision returns the configuration revision in force.
 func (r *Router) Revision() int64 { return r.tables.State().Revision }
 
-// PeerBytes returns the bytes exchanged with routers that this one called.
+// PeerBytes returns the bytes exchanged in calls that this router made to other routers.
 func (r *Router) PeerBytes() int64 { return r.peers.Bytes() }
 
-// Ready tells whether the router has what it needs to take requests.
+// Ready reports whether the router has joined the fleet and has a configuration.
 func (r *Router) Ready() bool { return r.joined.Load() && r.tables.Ready() }
 
-// Stop is a planned stop: leave, keep serving while the balancer notices, then
-// refuse new work, let running requests finish, return grants, flush bills.
+// Stop shuts the router down gracefully: it announces the drain, serves until the load
+// balancer has noticed, then refuses new requests, waits for running ones, flushes
+// billing records and returns grants.
 func (r *Router) Stop(ctx context.Context) {
 	r.leaving.Store(true)
 	r.log.Info("leaving")
@@ -285,26 +287,26 @@
 	_ = wait.For(ctx, r.settings.Requests.LeaveGrace.Std())
 	r.refusing.Store(true)
 	r.drain(ctx)
-	flush, cancel := context.WithTimeout(ctx, flushWithin)
+	flush, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	r.ledgers.Flush(flush)
 	r.budgets.Close(flush)
 	r.reclaims.Deregister(flush)
-	r.finishCallers(ctx)
+	r.shutdownCallerServer(ctx)
 	r.close()
 	r.log.Info("stopped")
 }
 
-// onFenced ends a router that the fleet has taken to be dead: no new work;
-// running requests finish.
+// onFenced stops a router that the fleet has declared dead: it refuses new requests and
+// lets running ones finish.
 func (r *Router) onFenced() {
 	r.stopped.Do(func() {
-		r.log.Error("fenced: this process was taken to be dead; its tokens are void")
+		r.log.Error("fenced: the fleet declared this process dead; its tokens are no longer valid")
 		r.leaving.Store(true)
 		r.refusing.Store(true)
 		go func() {
 			r.drain(context.Background())
-			flush, cancel := context.WithTimeout(context.Background(), flushWithin)
+			flush, cancel := context.WithTimeout(context.Background(), flushTimeout)
 			defer cancel()
 			r.ledgers.Flush(flush)
 			close(r.fenced)
@@ -312,39 +314,40 @@
 	})
 }
 
-// Fenced is closed when the fleet has taken this process to be dead, its
-// running requests have ended and their bills are recorded. The daemon then exits, to be started anew.
+// Fenced returns a channel that is closed once the fleet has declared this process dead,
+// its running requests have ended and their bills are recorded. The daemon then exits so
+// that it can be restarted.
 func (r *Router) Fenced() <-chan struct{} { return r.fenced }
 
-// Close ends a fenced router. It has nothing left to return.
+// Close stops a fenced router, which has no grants left to return.
 func (r *Router) Close() {
-	r.finishCallers(context.Background())
+	r.shutdownCallerServer(context.Background())
 	r.close()
 }
 
-// finishCallers lets answers that are written reach their callers. A request
-// has ended for the router a little before its last bytes are sent.
-func (r *Router) finishCallers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callersWithin)
+// shutdownCallerServer waits until written responses have reached their callers. The router
+// counts a request as finished shortly before its last bytes are sent.
+func (r *Router) shutdownCallerServer(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, callerShutdownTimeout)
 	defer cancel()
 	_ = r.http.Shutdown(ctx)
 }
 
-// drain waits until no request runs.
+// drain waits until no request is in flight.
 func (r *Router) drain(ctx context.Context) {
 	for r.inFlight.Load() > 0 && ctx.Err() == nil {
 		_ = wait.For(ctx, 10*time.Millisecond)
 	}
 }
 
-// Kill ends the process's side at once, as a crash would: nothing is
-// returned, flushed or told. It is for tests.
+// Kill stops the router at once, as a crash would: it returns no grants, flushes no
+// billing records and sends no notice. It is for tests.
 func (r *Router) Kill() { r.close() }
 
 func (r *Router) close() {
 	r.cancel()
 	_ = r.http.Close()
-	_ = r.peerSide.Close()
+	_ = r.peerListener.Close()
 	_ = r.peers.Close()
 	r.engines.Close()
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -48,7 +48,7 @@
 			Expect(got.notRun).To(BeTrue(), name)
 			Expect(got.status).To(Equal(c.code.Info().HTTPStatus), name)
 		}
-		Expect(f.served()).To(BeZero())
+		Expect(f.servedTokens()).To(BeZero())
 	})
 
 	It("refuses a key that is used with another body", func() {
@@ -70,27 +70,27 @@
 			want, tokens := backend.Answer("hello "+key, 20)
 			Expect(got.status).To(Equal(200))
 			if stream {
-				text, whole := streamed(got.body)
+				text, whole := parseStream(got.body)
 				Expect(whole).To(BeTrue())
 				Expect(text).To(Equal(want))
 			} else {
 				Expect(got.body).To(ContainSubstring(want))
 			}
-			Expect(f.bills("k/acme/" + key)).To(Equal([]int64{tokens}))
+			Expect(f.billedTokens("k/acme/" + key)).To(Equal([]int64{tokens}))
 		}
 	})
 
 	DescribeTable("of a failing backend server are never passed on",
 		func(kind backend.Fault, code result.Code) {
-			f.faults(kind, 1)
+			f.setFaults(kind, 1)
 			got := f.do(0, chat("hello", 20, false).with(filter.HeaderKey, "f1"))
 			Expect(got.code).To(Equal(code))
 			Expect(got.notRun).To(Equal(kind == backend.Refuse))
 			if kind == backend.Refuse {
-				Expect(f.bills("k/acme/f1")).To(BeEmpty())
+				Expect(f.billedTokens("k/acme/f1")).To(BeEmpty())
 				return
 			}
-			Expect(f.bills("k/acme/f1")).To(Equal([]int64{f.served()}))
+			Expect(f.billedTokens("k/acme/f1")).To(Equal([]int64{f.servedTokens()}))
 		},
 		Entry("garbage", backend.Garbage, result.BackendGarbage),
 		Entry("stops half way", backend.Cut, result.BackendCut),
@@ -112,24 +112,23 @@
 		_, err = io.ReadFull(resp.Body, make([]byte, 100))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.Body.Close()).To(Succeed())
-		Eventually(func() []int64 { return f.bills("k/acme/gone") }, patience).Should(HaveLen(1))
-		Expect(f.bills("k/acme/gone")[0]).To(BeNumerically(">=", f.served()))
+		Eventually(func() []int64 { return f.billedTokens("k/acme/gone") }, eventualTimeout).Should(HaveLen(1))
+		Expect(f.billedTokens("k/acme/gone")[0]).To(BeNumerically(">=", f.servedTokens()))
 	})
 })
 
-// A streamed answer that fails after its first event ended in an error event and
-// then in a proper last chunk: whoever went by HTTP's framing had a complete
-// answer. The handler returned normally, which frames what was written as whole;
-// a backend server that fails half way proves it.
+// Guards against a failed stream that is framed as complete: the handler returned
+// normally after writing the error event, so net/http sent the final chunk. Triggered by
+// a backend server that fails after its first event.
 var _ = Describe("streamed answers that fail after their first event", func() {
 	var f *fleet
-	const cap = 40
-	long := ""
+	const tokenCap = 40
+	longPrompt := ""
 	BeforeEach(func() {
 		f = newFleet(1)
 		for i := 0; ; i++ {
-			long = fmt.Sprint("long ", i)
-			if _, tokens := backend.Answer(long, cap); tokens > cap/2 {
+			longPrompt = fmt.Sprint("long ", i)
+			if _, tokens := backend.Answer(longPrompt, tokenCap); tokens > tokenCap/2 {
 				break
 			}
 		}
@@ -137,14 +136,14 @@
 
 	DescribeTable("tell of the error and are not framed as complete",
 		func(kind backend.Fault, code result.Code) {
-			f.faults(kind, 1)
-			resp, err := f.send(0, chat(long, cap, true))
+			f.setFaults(kind, 1)
+			resp, err := f.send(0, chat(longPrompt, tokenCap, true))
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = resp.Body.Close() }()
 			body, err := io.ReadAll(resp.Body)
 			Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-			text, whole := streamed(string(body))
-			want, _ := backend.Answer(long, cap)
+			text, whole := parseStream(string(body))
+			want, _ := backend.Answer(longPrompt, tokenCap)
 			Expect(whole).To(BeFalse())
 			Expect(text).NotTo(BeEmpty())
 			shared := min(len(text), len(want))
@@ -159,27 +158,27 @@
 	)
 
 	It("end without the end marker for a caller of HTTP/1.0 too", func() {
-		f.faults(backend.Early, 1)
+		f.setFaults(backend.Early, 1)
 		conn, err := net.Dial("tcp", f.settings[0].Listen.Callers)
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
-		c := chat(long, cap, true)
+		c := chat(longPrompt, tokenCap, true)
 		_, err = fmt.Fprintf(conn, "POST %s HTTP/1.0\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", c.path, f.key, len(c.body), c.body)
 		Expect(err).NotTo(HaveOccurred())
 		answer, err := io.ReadAll(conn)
 		Expect(err).NotTo(HaveOccurred())
-		_, whole := streamed(string(answer))
+		_, whole := parseStream(string(answer))
 		Expect(whole).To(BeFalse())
 		Expect(string(answer)).To(ContainSubstring("event: error"))
 	})
 
 	It("leave the router able to stop", func() {
-		f.faults(backend.Cut, 1)
-		resp, err := f.send(0, chat(long, cap, true))
+		f.setFaults(backend.Cut, 1)
+		resp, err := f.send(0, chat(longPrompt, tokenCap, true))
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 		defer cancel()
 		f.routers[0].Stop(ctx)
 		Expect(ctx.Err()).NotTo(HaveOccurred())
@@ -199,9 +198,9 @@
 	})
 
 	It("are not run again when their answer was cut", func() {
-		f.faults(backend.Cut, 1)
+		f.setFaults(backend.Cut, 1)
 		Expect(f.do(0, lookup("plate 2", "cut")).code).To(Equal(result.OutcomeUnknown))
-		f.faults(backend.None, 0)
+		f.setFaults(backend.None, 0)
 		got := f.do(1, lookup("plate 2", "cut"))
 		Expect(got.code).To(Equal(result.OutcomeUnknown))
 		Expect(got.notRun).To(BeFalse())
@@ -209,9 +208,9 @@
 	})
 
 	It("are not answered with a part, nor at a retry, when their answer was cut without framing", func() {
-		f.faults(backend.Unframed, 1)
+		f.setFaults(backend.Unframed, 1)
 		Expect(f.do(0, lookup("plate 2", "part")).code).To(Equal(result.OutcomeUnknown))
-		f.faults(backend.None, 0)
+		f.setFaults(backend.None, 0)
 		Expect(f.do(1, lookup("plate 2", "part")).code).To(Equal(result.OutcomeUnknown))
 		Expect(f.service.Runs()).To(HaveLen(1))
 	})
@@ -223,7 +222,7 @@
 		Expect(got.notRun).To(BeTrue())
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 		f.platform.SetFaults(standin.Faults{})
-		Eventually(func() int { return f.do(1, lookup("plate 3", "later")).status }, patience).Should(Equal(200))
+		Eventually(func() int { return f.do(1, lookup("plate 3", "later")).status }, eventualTimeout).Should(Equal(200))
 		Expect(f.service.Runs()).To(HaveLen(1))
 	})
 })
@@ -249,10 +248,10 @@
 		Eventually(func() int {
 			billed := 0
 			for i := range 6 {
-				billed += len(f.bills(fmt.Sprint("k/acme/dark", i)))
+				billed += len(f.billedTokens(fmt.Sprint("k/acme/dark", i)))
 			}
 			return billed
-		}, patience).Should(Equal(answered))
+		}, eventualTimeout).Should(Equal(answered))
 	})
 
 	It("may lose answers: every answered request is billed once", func() {
@@ -263,7 +262,7 @@
 			if f.do(i%2, chat(key, 10, false).with(filter.HeaderKey, key)).status != 200 {
 				continue
 			}
-			Eventually(func() []int64 { return f.bills("k/acme/" + key) }, patience).Should(HaveLen(1))
+			Eventually(func() []int64 { return f.billedTokens("k/acme/" + key) }, eventualTimeout).Should(HaveLen(1))
 		}
 	})
 
@@ -274,7 +273,7 @@
 		f.settings[0].Listen.Callers = freeAddr()
 		go func() {
 			defer GinkgoRecover()
-			f.start(0)
+			f.startRouter(0)
 		}()
 		Eventually(func() result.Code {
 			resp, err := f.send(0, chat("x", 5, false))
@@ -283,9 +282,9 @@
 			}
 			_ = resp.Body.Close()
 			return f.do(0, chat("x", 5, false)).code
-		}, patience).Should(Equal(result.Starting))
+		}, eventualTimeout).Should(Equal(result.Starting))
 		f.platform.SetFaults(standin.Faults{})
-		Eventually(func() int { return f.do(0, chat("x", 5, false)).status }, patience).Should(Equal(200))
+		Eventually(func() int { return f.do(0, chat("x", 5, false)).status }, eventualTimeout).Should(Equal(200))
 	})
 })
 
@@ -303,12 +302,12 @@
 		Eventually(func() int {
 			got = f.do(1, c)
 			return got.status
-		}, patience).Should(Equal(200))
+		}, eventualTimeout).Should(Equal(200))
 		want, tokens := backend.Answer("a long dossier", 900)
-		text, whole := streamed(got.body)
+		text, whole := parseStream(got.body)
 		Expect(whole).To(BeTrue())
 		Expect(text).To(Equal(want))
-		Expect(f.bills("k/acme/dossier")).To(ContainElement(tokens))
+		Expect(f.billedTokens("k/acme/dossier")).To(ContainElement(tokens))
 	})
 
 	It("bring the tokens of a dead router back", func() {
@@ -322,7 +321,7 @@
 			var b admin.BudgetAnswer
 			Expect(f.admin(0, admin.BudgetShow, admin.BudgetArgs{ID: "main"}, &b)).To(Succeed())
 			return b.SpentOrStranded
-		}, patience).Should(Equal(f.served()))
+		}, eventualTimeout).Should(Equal(f.servedTokens()))
 	})
 
 	It("end a router that was taken to be dead, with its stream whole and billed", func() {
@@ -336,14 +335,14 @@
 		}
 		Eventually(func() result.Code {
 			return f.do(0, chat("x", 3, false).with(filter.HeaderKey, fmt.Sprint("after", time.Now().UnixNano()))).code
-		}, patience).Should(Equal(result.Leaving))
+		}, eventualTimeout).Should(Equal(result.Leaving))
 		body, err := io.ReadAll(resp.Body)
 		Expect(err).NotTo(HaveOccurred())
-		_, whole := streamed(string(body))
+		_, whole := parseStream(string(body))
 		Expect(whole).To(BeTrue())
-		Eventually(f.routers[0].Fenced(), patience).Should(BeClosed())
+		Eventually(f.routers[0].Fenced(), eventualTimeout).Should(BeClosed())
 		_, tokens := backend.Answer("a long dossier", 900)
-		Expect(f.bills("k/acme/fenced")).To(Equal([]int64{tokens}))
+		Expect(f.billedTokens("k/acme/fenced")).To(Equal([]int64{tokens}))
 	})
 
 	It("cut no stream at a planned stop", func() {
@@ -355,18 +354,18 @@
 		stopped := make(chan struct{})
 		go func() {
 			defer close(stopped)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 			defer cancel()
 			f.routers[0].Stop(ctx)
 		}()
 		body, err := io.ReadAll(resp.Body)
 		Expect(err).NotTo(HaveOccurred())
-		_, whole := streamed(string(body))
+		_, whole := parseStream(string(body))
 		Expect(whole).To(BeTrue())
-		Eventually(stopped, patience).Should(BeClosed())
+		Eventually(stopped, eventualTimeout).Should(BeClosed())
 		var b admin.BudgetAnswer
 		Expect(f.admin(1, admin.BudgetShow, admin.BudgetArgs{ID: "main"}, &b)).To(Succeed())
-		Expect(b.Issued).To(Equal(f.served()), "a stopped router returns what it held")
+		Expect(b.Issued).To(Equal(f.servedTokens()), "a stopped router returns what it held")
 	})
 
 	It("give a leaving backend server no new work", func() {
@@ -378,12 +377,12 @@
 				Expect(f.do(i%2, chat(fmt.Sprint("n", i, time.Now()), 3, false)).status).To(Equal(200))
 			}
 			return len(f.engines[0].Runs()) - before
-		}, patience).Should(BeZero())
+		}, eventualTimeout).Should(BeZero())
 
 		By("not even from a router that starts afterwards")
 		before := len(f.engines[0].Runs())
 		f.routers[0].Kill()
-		f.start(0)
+		f.startRouter(0)
 		for i := range 8 {
 			Expect(f.do(0, chat(fmt.Sprint("after", i), 3, false)).status).To(Equal(200))
 		}
@@ -417,11 +416,11 @@
 	It("is in force on every router when a change is accepted, and stays after a restart", func() {
 		Expect(set(1, 33, f.revision(0))).To(Succeed())
 		for i := range f.routers {
-			Eventually(func() int64 { return f.revision(i) }, patience).Should(Equal(f.revision(1)))
+			Eventually(func() int64 { return f.revision(i) }, eventualTimeout).Should(Equal(f.revision(1)))
 		}
 		at := f.revision(0)
 		f.routers[2].Kill()
-		f.start(2)
+		f.startRouter(2)
 		Expect(f.revision(2)).To(Equal(at))
 	})
 
@@ -447,8 +446,8 @@
 		Expect(entries[len(entries)-1].Outcome).To(ContainSubstring("weight -1"), "refused changes are in the audit trail")
 	})
 
-	// An entry that could not be read was left out, and the trail looked whole
-	// without it: its error was dropped. An entry cut in the store proves it.
+	// Guards against an audit trail that silently omits an unreadable entry, because
+	// the decoding error was ignored. Triggered by a truncated entry in the store.
 	It("shows an audit entry that cannot be read", func() {
 		_, err := f.platform.Objects().Create(context.Background(), "audit/1700000000000000000-x", []byte(`{"operator":"o`))
 		Expect(err).NotTo(HaveOccurred())
