--- a/filter/authenticate/authenticate.go
+++ b/filter/authenticate/authenticate.go
@@ -1,5 +1,5 @@
-// Package authenticate finds the client account that a caller's key belongs
-// to. Keys are known by their SHA-256 hash alone.
+// Package authenticate finds the client account that an API key belongs to. Only the
+// SHA-256 hashes of keys are stored.
 package authenticate
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// Accounts gives the configuration in force.
+// Accounts provides the configuration in force.
 type Accounts interface {
 	State() *table.State
 }
@@ -29,7 +29,7 @@
 	return &handler{next: next, accounts: accounts}
 }
 
-// Hash returns the hash under which a key is stored.
+// Hash returns the hex-encoded SHA-256 hash that is stored for a key.
 func Hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -54,8 +54,8 @@
 	return h.next.Serve(ctx, x)
 }
 
-// find compares with every account's hashes, so that the time taken tells
-// nothing about which one matched.
+// find compares the hash with those of every account, so that its duration does not
+// reveal which one matched.
 func find(s *table.State, hash string) (table.Account, bool) {
 	var found table.Account
 	ok := false
--- a/filter/decode/decode.go
+++ b/filter/decode/decode.go
@@ -1,4 +1,4 @@
-// Package decode reads and checks what the caller asks for.
+// Package decode parses and validates requests.
 package decode
 
 import (
@@ -19,20 +19,20 @@
 )
 
 const (
-	// maxKeyBytes bounds an idempotency key.
+	// maxKeyBytes limits the length of an idempotency key.
 	maxKeyBytes = 200
-	// prefixBytes of the prompt decide its cache affinity.
+	// prefixBytes is the length of the prompt prefix that determines cache affinity.
 	prefixBytes = 256
 )
 
-// Limits bound a request.
+// Limits are the upper limits for a request.
 type Limits struct {
 	MaxBodyBytes int64
 	MaxTokens    int64
 	Deadline     time.Duration
 }
 
-// Config gives the configuration in force.
+// Config provides the configuration in force.
 type Config interface {
 	State() *table.State
 }
@@ -69,9 +69,9 @@
 		return err
 	}
 	if x.Kind == table.Model {
-		err = h.readChat(x)
+		err = h.parseChat(x)
 	} else {
-		err = h.checkService(x)
+		err = h.parseServicePath(x)
 	}
 	if err != nil {
 		return err
@@ -95,8 +95,8 @@
 }
 
 func (h *handler) readHeaders(x *filter.Exchange) error {
-	x.Key = x.R.Header.Get(filter.HeaderKey)
-	if len(x.Key) > maxKeyBytes {
+	x.IdempotencyKey = x.R.Header.Get(filter.HeaderKey)
+	if len(x.IdempotencyKey) > maxKeyBytes {
 		return result.New(result.BadHeader, "%s has more than %d bytes", filter.HeaderKey, maxKeyBytes)
 	}
 	switch text := x.R.Header.Get(filter.HeaderNotRepeatable); text {
@@ -106,13 +106,13 @@
 	default:
 		return result.New(result.BadHeader, "%s must be true or false", filter.HeaderNotRepeatable)
 	}
-	if x.NotRepeatable && x.Key == "" {
+	if x.NotRepeatable && x.IdempotencyKey == "" {
 		return result.New(result.MissingKey, "a not-repeatable request needs the header %s", filter.HeaderKey)
 	}
-	return h.chooseBudget(x)
+	return h.resolveBudget(x)
 }
 
-func (h *handler) chooseBudget(x *filter.Exchange) error {
+func (h *handler) resolveBudget(x *filter.Exchange) error {
 	x.Budget = x.R.Header.Get(filter.HeaderBudget)
 	if x.Budget == "" {
 		x.Budget = x.Account.Budget
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func (h *handler) readChat(x *filter.Exchange) error {
+func (h *handler) parseChat(x *filter.Exchange) error {
 	var req chatRequest
 	if err := json.Unmarshal(x.Body, &req); err != nil {
 		return result.New(result.BadJSON, "the body is not a chat-completions request: %v", err)
@@ -153,12 +153,12 @@
 	x.Target = req.Model
 	x.Stream = req.Stream
 	x.MaxTokens = *req.MaxTokens
-	x.Prefix = xxhash.Sum64(req.Messages[:min(len(req.Messages), prefixBytes)])
+	x.PrefixHash = xxhash.Sum64(req.Messages[:min(len(req.Messages), prefixBytes)])
 	return nil
 }
 
-// checkService splits SERVICE/PATH.
-func (h *handler) checkService(x *filter.Exchange) error {
+// parseServicePath splits SERVICE/PATH and checks that the service exists.
+func (h *handler) parseServicePath(x *filter.Exchange) error {
 	x.Target, x.Path, _ = strings.Cut(x.Path, "/")
 	if !h.config.State().HasTarget(table.Service, x.Target) {
 		return result.New(result.UnknownService, "unknown service %q", x.Target)
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// digest hashes what was asked, so that a key used for two different requests
-// is noticed.
+// digest hashes the request, to detect an idempotency key that is used for two different
+// requests.
 func digest(x *filter.Exchange) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(x.Kind) + "\x00" + x.Target + "\x00" + x.Path + "\x00")
--- a/filter/deduplicate/deduplicate.go
+++ b/filter/deduplicate/deduplicate.go
@@ -1,5 +1,5 @@
-// Package deduplicate claims a request in the ledger before it is dispatched
-// and writes its billing record before the answer ends.
+// Package deduplicate claims a request in the ledger before dispatch and writes its
+// billing record before the end of the response is sent.
 package deduplicate
 
 import (
@@ -14,29 +14,30 @@
 )
 
 const (
-	// busyRetry is when to come back for a running request's outcome.
-	busyRetry = time.Second
-	// downRetry is when to come back while the store is down.
-	downRetry = 2 * time.Second
-	// keptAnswer is the largest answer that is kept for a retry.
-	keptAnswer = 4 << 10
+	// runningRetryAfter is the Retry-After value while an attempt with the same key runs.
+	runningRetryAfter = time.Second
+	// unavailableRetryAfter is the Retry-After value while the store or the ledger is
+	// unreachable.
+	unavailableRetryAfter = 2 * time.Second
+	// maxStoredResponseBytes is the size limit of responses that are stored for retries.
+	maxStoredResponseBytes = 4 << 10
 )
 
-// Ledger is the ledger as a router sees it.
+// Ledger is the router's interface to the ledger.
 type Ledger interface {
-	// Claim asks to run a request.
+	// Claim requests permission to run a request.
 	Claim(ctx context.Context, op ledger.Op) (ledger.Outcome, error)
-	// Record writes a bill. It returns when the bill is committed, or held
+	// Record writes a billing record. It returns once the record is committed, or held
 	// by a router while the store is down.
 	Record(ctx context.Context, op ledger.Op)
-	// Withdraw takes back a claim that did not run. It does not wait.
+	// Withdraw cancels the claim of a request that did not run. It does not wait.
 	Withdraw(op ledger.Op)
-	// Running tells whether a holder still serves the claim.
+	// Running reports whether the holder of the claim still serves it.
 	Running(ctx context.Context, outcome ledger.Outcome, request string) bool
-	// Begin and Done mark a claim as served by this router.
+	// Begin and Done mark the start and end of this router's work on a claim.
 	Begin(claim string)
 	Done(claim string)
-	// Stop is called when this router finds itself fenced.
+	// Stop is called when this router learns that it was fenced.
 	Stop()
 	// Self returns this router's incarnation and instance.
 	Self() (incarnation, instance string)
@@ -54,30 +55,30 @@
 
 // Serve implements filter.Handler.
 func (h *handler) Serve(ctx context.Context, x *filter.Exchange) error {
-	op := h.op(x)
+	op := h.newClaim(x)
 	h.ledger.Begin(op.Claim)
 	defer h.ledger.Done(op.Claim)
 	done, err := h.claim(ctx, x, op)
 	if done || err != nil {
 		return err
 	}
-	x.ClaimMore = func(ctx context.Context, tokens int64) error { return h.claimMore(ctx, &op, tokens) }
+	x.RaiseClaim = func(ctx context.Context, tokens int64) error { return h.raiseClaim(ctx, &op, tokens) }
 	op.Attempt = x.Attempt
 	x.Log = x.Log.With(zap.Int("attempt", x.Attempt))
 	err = h.next.Serve(ctx, x)
 	return h.finish(ctx, x, op, err)
 }
 
-// op builds the ledger's view of the request.
-func (h *handler) op(x *filter.Exchange) ledger.Op {
-	x.Request = "c/" + x.ID
-	if x.Key != "" {
-		x.Request = "k/" + x.Account.ID + "/" + x.Key
+// newClaim builds the ledger operation that claims the request.
+func (h *handler) newClaim(x *filter.Exchange) ledger.Op {
+	x.LedgerRequest = "c/" + x.ID
+	if x.IdempotencyKey != "" {
+		x.LedgerRequest = "k/" + x.Account.ID + "/" + x.IdempotencyKey
 	}
 	incarnation, instance := h.ledger.Self()
 	return ledger.Op{
 		Kind:          ledger.Claim,
-		Request:       x.Request,
+		Request:       x.LedgerRequest,
 		Claim:         x.ID,
 		Holder:        incarnation,
 		Instance:      instance,
@@ -91,44 +92,44 @@
 	}
 }
 
-// claim asks the ledger until it decides. done means that the caller has its
-// answer already.
+// claim claims the request in the ledger. If the holder of an existing claim no longer
+// serves it, claim supersedes that claim. done means that the response was already sent.
 func (h *handler) claim(ctx context.Context, x *filter.Exchange, op ledger.Op) (done bool, err error) {
 	outcome, err := h.ledger.Claim(ctx, op)
 	if err == nil && outcome.Verdict == ledger.Busy {
-		if h.ledger.Running(ctx, outcome, x.Request) {
-			return false, result.New(result.AlreadyRunning, "an attempt with this key is running").After(busyRetry)
+		if h.ledger.Running(ctx, outcome, x.LedgerRequest) {
+			return false, result.New(result.AlreadyRunning, "an attempt with this key is running").After(runningRetryAfter)
 		}
 		op.Supersede = outcome.Holder
 		outcome, err = h.ledger.Claim(ctx, op)
 	}
 	if err != nil {
-		return false, h.unclaimed(op, err)
+		return false, h.claimFailed(op, err)
 	}
-	return h.decided(x, outcome)
+	return h.applyOutcome(x, outcome)
 }
 
-// claimMore raises the claim's worst case before another try.
-func (h *handler) claimMore(ctx context.Context, op *ledger.Op, tokens int64) error {
+// raiseClaim raises the claim's maximum number of tokens before another attempt.
+func (h *handler) raiseClaim(ctx context.Context, op *ledger.Op, tokens int64) error {
 	op.Worst += tokens
-	again := *op
-	again.Attempt = 0
-	outcome, err := h.ledger.Claim(ctx, again)
+	raised := *op
+	raised.Attempt = 0
+	outcome, err := h.ledger.Claim(ctx, raised)
 	if err == nil && outcome.Verdict == ledger.Run {
 		return nil
 	}
-	return result.New(result.LedgerUnreachable, "another try could not be claimed").Wrap(err).After(downRetry)
+	return result.New(result.LedgerUnreachable, "another try could not be claimed").Wrap(err).After(unavailableRetryAfter)
 }
 
-// unclaimed refuses a request whose claim nobody decided, and withdraws the
-// claim in case it stands. It holds for repeatable requests too: what nobody
-// else knows of could not be told from unspent tokens if this router died.
-func (h *handler) unclaimed(op ledger.Op, err error) error {
+// claimFailed returns the error for a request whose claim has no decision, and withdraws
+// the claim in case it was recorded. Repeatable requests need a claim too: if this router
+// died, the tokens of an unrecorded request could not be told from unspent ones.
+func (h *handler) claimFailed(op ledger.Op, err error) error {
 	h.withdraw(op)
-	return result.New(result.LedgerUnreachable, "no ledger shard owner answers").Wrap(err).After(downRetry)
+	return result.New(result.LedgerUnreachable, "no ledger shard owner answers").Wrap(err).After(unavailableRetryAfter)
 }
 
-func (h *handler) decided(x *filter.Exchange, outcome ledger.Outcome) (done bool, err error) {
+func (h *handler) applyOutcome(x *filter.Exchange, outcome ledger.Outcome) (done bool, err error) {
 	switch outcome.Verdict {
 	case ledger.Run:
 		x.Attempt = outcome.Attempt
@@ -138,18 +139,18 @@
 	case ledger.Finished:
 		return h.replay(x, outcome)
 	case ledger.Busy:
-		return false, result.New(result.AlreadyRunning, "an attempt with this key is running").After(busyRetry)
+		return false, result.New(result.AlreadyRunning, "an attempt with this key is running").After(runningRetryAfter)
 	case ledger.Fenced:
 		h.ledger.Stop()
-		return false, result.New(result.Leaving, "this router was taken to be dead and is stopping").After(busyRetry)
+		return false, result.New(result.Leaving, "this router was taken to be dead and is stopping").After(runningRetryAfter)
 	case ledger.Unresolved:
 		return false, result.New(result.OutcomeUnknown, "the request was dispatched by a router that is gone; its outcome is unknown")
 	default:
-		return false, result.New(result.StoreUnavailable, "the request cannot be claimed while the store is down").After(downRetry)
+		return false, result.New(result.StoreUnavailable, "the request cannot be claimed while the store is down").After(unavailableRetryAfter)
 	}
 }
 
-// replay answers a finished not-repeatable request from its record.
+// replay sends the stored response of a finished not-repeatable request.
 func (h *handler) replay(x *filter.Exchange, outcome ledger.Outcome) (done bool, err error) {
 	if outcome.Code != int(result.OK) {
 		x.Dispatched = true
@@ -164,8 +165,8 @@
 	return true, err
 }
 
-// finish bills what was dispatched, withdraws what was not, and then lets the
-// answer end.
+// finish writes the billing record of a dispatched request, or withdraws the claim of
+// one that was not dispatched, and then sends the end of the response.
 func (h *handler) finish(ctx context.Context, x *filter.Exchange, op ledger.Op, err error) error {
 	if x.Settle != nil {
 		defer x.Settle()
@@ -179,12 +180,12 @@
 	if err != nil {
 		op.Code = int(result.From(err).Code)
 	}
-	if x.NotRepeatable && len(x.Reply) <= keptAnswer {
-		op.Answer, op.AnswerType = x.Reply, x.ReplyType
+	if x.NotRepeatable && len(x.ServiceResponse) <= maxStoredResponseBytes {
+		op.Answer, op.AnswerType = x.ServiceResponse, x.ServiceContentType
 	}
 	h.ledger.Record(context.WithoutCancel(ctx), op)
-	if err == nil && x.End != nil {
-		return x.End()
+	if err == nil && x.Finish != nil {
+		return x.Finish()
 	}
 	return err
 }
--- a/filter/filter.go
+++ b/filter/filter.go
@@ -1,10 +1,10 @@
-// Package filter defines the chain that a caller's request passes through:
-// authenticate, decode, deduplicate, limit, reserve, forward.
+// Package filter defines the filter chain for callers' requests: authenticate, decode,
+// deduplicate, limit, reserve, forward.
 //
-// Each filter is a package of its own with a constructor New(next, ...). A
-// filter does its part on the way in, calls the next one, and finishes its
-// part on the way out: the billing record is written and the reservation
-// settled after the answer, in the reverse order.
+// Each filter is a separate package with a constructor New(next, ...). A filter processes
+// the request, calls the next filter, and completes its work when that returns. After the
+// response, filters thus run in reverse order: the billing record is written and then the
+// reservation is settled.
 package filter
 
 import (
@@ -21,32 +21,32 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// The headers of gaplink's own.
+// The HTTP headers that gaplink reads from requests or sets on responses.
 const (
-	// HeaderKey makes a request's retries recognisable.
+	// HeaderKey carries the idempotency key, which identifies retries of a request.
 	HeaderKey = "Idempotency-Key"
 	// HeaderNotRepeatable marks a request that runs at most once ("true").
 	HeaderNotRepeatable = "Gaplink-Not-Repeatable"
-	// HeaderBudget names the budget to use.
+	// HeaderBudget names the budget that the request is charged to.
 	HeaderBudget = "Gaplink-Budget"
-	// HeaderDeadline is the caller's patience in milliseconds.
+	// HeaderDeadline is the caller's timeout in milliseconds.
 	HeaderDeadline = "Gaplink-Deadline-Ms"
-	// HeaderRequestID carries the request's number in answers.
+	// HeaderRequestID carries the request's ID in responses.
 	HeaderRequestID = "Gaplink-Request-Id"
-	// HeaderCode carries the result code in refusals.
+	// HeaderCode carries the result code in error responses.
 	HeaderCode = "Gaplink-Code"
 	// HeaderNotRun is "true" when the request certainly did not run.
 	HeaderNotRun = "Gaplink-Not-Run"
 )
 
-// Exchange is one caller's request on its way through the chain.
+// Exchange is the state of one caller's request in the filter chain.
 type Exchange struct {
-	// ID is the request's number, unique to this connection.
+	// ID identifies this HTTP request; a retry by the caller has another one.
 	ID string
-	// W and R are the caller's side.
+	// W and R are the caller's HTTP response and request.
 	W http.ResponseWriter
 	R *http.Request
-	// Received is when the request came in.
+	// Received is the time at which the request was received.
 	Received time.Time
 
 	// Account is set by authenticate.
@@ -54,80 +54,82 @@
 
 	// The fields below are set by decode.
 
-	// Kind tells a model request from a plain service's, Target names it.
+	// Kind distinguishes model requests from plain service requests; Target is the
+	// name of the model or service.
 	Kind   table.PoolKind
 	Target string
-	// Path is what follows the service's name.
+	// Path is the rest of the URL path after the service's name.
 	Path string
-	// Body is the caller's body.
+	// Body is the request body.
 	Body []byte
-	// Budget is who pays.
+	// Budget is the budget that the request is charged to.
 	Budget string
-	// Key is the caller's idempotency key; empty if none was sent.
-	Key string
-	// Digest is a hash of what was asked.
+	// IdempotencyKey is the caller's idempotency key; empty if none was sent.
+	IdempotencyKey string
+	// Digest is a hash of the kind, target, path and body.
 	Digest uint64
 	// NotRepeatable is set for a request that runs at most once.
 	NotRepeatable bool
-	// Stream asks for server-sent events.
+	// Stream is set if the caller requested server-sent events.
 	Stream bool
-	// MaxTokens caps the answer; 0 for a plain service.
+	// MaxTokens is the maximum number of tokens of the response; 0 for a plain service.
 	MaxTokens int64
-	// Prefix is a hash of the start of the prompt.
-	Prefix uint64
+	// PrefixHash is a hash of the start of the prompt.
+	PrefixHash uint64
 
-	// Request is the ledger's name of the request, and Attempt the number of
-	// the first attempt here. Set by deduplicate.
-	Request string
-	Attempt int
+	// LedgerRequest identifies the request in the ledger, and Attempt is the number of
+	// the first attempt by this router. Set by deduplicate.
+	LedgerRequest string
+	Attempt       int
 
-	// ClaimMore raises the claim by the worst case of another try. Set by
-	// deduplicate.
-	ClaimMore func(ctx context.Context, tokens int64) error
+	// RaiseClaim raises the claim by the maximum number of tokens of another attempt.
+	// Set by deduplicate.
+	RaiseClaim func(ctx context.Context, tokens int64) error
 
-	// Extend reserves further tokens for a repeated attempt, and Settle ends
-	// the reservation once the bill is recorded. Set by reserve.
-	Extend func(ctx context.Context, tokens int64) error
-	Settle func()
+	// ReserveMore reserves tokens for another attempt, and Settle ends the reservation
+	// once the billing record is written. Set by reserve.
+	ReserveMore func(ctx context.Context, tokens int64) error
+	Settle      func()
 
 	// The fields below are set by forward.
 
-	// Dispatched tells that an attempt may have run.
+	// Dispatched is set if an attempt may have run.
 	Dispatched bool
-	// Answered tells that a part of the answer was sent to the caller.
-	Answered bool
-	// Tokens are those served by all attempts, as far as is known; for an
-	// attempt whose end was not seen, its worst case.
+	// ResponseStarted is set once part of the response was sent to the caller.
+	ResponseStarted bool
+	// Tokens is the number of tokens served by all attempts. An attempt whose outcome is
+	// unknown counts with its maximum.
 	Tokens int64
-	// Reply is a small whole answer, kept for a not-repeatable request.
-	Reply     []byte
-	ReplyType string
-	// End sends the held-back end of the answer. It is called when the
-	// billing record is safe.
-	End func() error
-
-	// Log carries the request's id.
+	// ServiceResponse is the complete response body of a plain service. It is stored for
+	// retries of a not-repeatable request if it is small.
+	ServiceResponse    []byte
+	ServiceContentType string
+	// Finish sends the buffered end of the response. It is called once the billing record
+	// is written.
+	Finish func() error
+
+	// Log adds the request ID to each entry.
 	Log *zap.Logger
 }
 
-// Handler is one filter, or the end of the chain. An error is the refusal or
-// failure that the caller is told.
+// Handler is one filter, or the end of the chain. The error returned is reported to the
+// caller.
 type Handler interface {
 	Serve(ctx context.Context, x *Exchange) error
 }
 
-// HandlerFunc makes a function a Handler.
+// HandlerFunc adapts a function to Handler.
 type HandlerFunc func(ctx context.Context, x *Exchange) error
 
 // Serve implements Handler.
 func (f HandlerFunc) Serve(ctx context.Context, x *Exchange) error { return f(ctx, x) }
 
-// refusal is the JSON shape of a refusal or failure.
-type refusal struct {
-	Error refusalBody `json:"error"`
+// errorResponse is the JSON body of an error response.
+type errorResponse struct {
+	Error errorBody `json:"error"`
 }
 
-type refusalBody struct {
+type errorBody struct {
 	Code         int    `json:"code"`
 	Name         string `json:"name"`
 	Message      string `json:"message"`
@@ -136,12 +138,12 @@
 	RequestID    string `json:"request_id"`
 }
 
-// WriteError tells the caller of a refusal or failure. Once a part of a
-// streamed answer is out, it goes into the stream as an error event, and the
-// end marker is not sent; the connection must then be broken off.
+// WriteError sends an error to the caller. If part of a streamed response was already
+// sent, the error is written as an error event without an end marker, and the connection
+// must then be aborted.
 func WriteError(x *Exchange, e *result.Error) {
 	info := e.Code.Info()
-	body, _ := json.Marshal(refusal{refusalBody{
+	body, _ := json.Marshal(errorResponse{errorBody{
 		Code:         int(e.Code),
 		Name:         info.Name,
 		Message:      message(e, info),
@@ -149,9 +151,9 @@
 		RetryAfterMs: e.RetryAfter.Milliseconds(),
 		RequestID:    x.ID,
 	}})
-	if x.Answered {
+	if x.ResponseStarted {
 		_, _ = x.W.Write([]byte("event: error\ndata: " + string(body) + "\n\n"))
-		_ = http.NewResponseController(x.W).Flush() // it must be out when the connection is broken off
+		_ = http.NewResponseController(x.W).Flush() // aborting the connection would discard a buffered event
 		return
 	}
 	h := x.W.Header()
--- a/filter/forward/forward.go
+++ b/filter/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward sends a request to a backend server and its answer to the
-// caller, and repeats attempts where that is safe.
+// Package forward sends a request to a backend server and the response to the caller,
+// and retries where that is safe.
 package forward
 
 import (
@@ -27,34 +27,35 @@
 )
 
 const (
-	// cancelTimeout bounds the question how much a failed attempt served.
+	// cancelTimeout limits the call that cancels a failed attempt and returns the number
+	// of tokens it served.
 	cancelTimeout = 500 * time.Millisecond
-	// backendRetry is when to come back when no backend server can help.
-	backendRetry = 2 * time.Second
-	chatPath     = "/v1/chat/completions"
-	servicePath  = "/v1/services/"
+	// backendRetryAfter is the Retry-After value when no backend server could run the request.
+	backendRetryAfter = 2 * time.Second
+	chatPath          = "/v1/chat/completions"
+	servicePath       = "/v1/services/"
 )
 
-// Routes is the router's knowledge of the backend servers.
+// Routes picks backend servers and tracks their state.
 type Routes interface {
 	Pick(req route.Request) (route.Choice, bool)
 	Started(id string)
 	Finished(id string, failed bool)
 	Load(id string, load float64)
-	// Left tells that a server said that it is leaving.
+	// Left records that a server announced that it is draining.
 	Left(id string)
 }
 
-// Config gives the configuration in force.
+// Config provides the configuration in force.
 type Config interface {
 	State() *table.State
 }
 
 // Options are the settings of the filter.
 type Options struct {
-	// Attempts bounds the attempts of one request.
+	// Attempts limits the attempts per request.
 	Attempts int
-	// RetryRatio is the retry budget as a share of the requests.
+	// RetryRatio is the retry budget as a fraction of the requests.
 	RetryRatio float64
 }
 
@@ -97,84 +98,85 @@
 	if err != nil {
 		return err
 	}
-	known := h.suspicion(x)
-	if refusal := known.Refusal(); refusal != nil {
+	record := h.crashRecord(x)
+	if refusal := record.Refusal(); refusal != nil {
 		return refusal
 	}
-	h.earnRetry()
+	h.creditRetryBudget()
 	tried := map[string]bool{}
 	var last *engine.Failure
 	for try := 1; ; try++ {
-		failure := h.try(ctx, x, known, body, try, tried)
+		failure := h.tryServer(ctx, x, record, body, try, tried)
 		if failure == nil {
 			return nil
 		}
-		failure = decisive(last, failure)
+		failure = reportedFailure(last, failure)
 		last = failure
-		if err := h.again(ctx, x, known, failure, try); err != nil {
+		if err := h.prepareRetry(ctx, x, record, failure, try); err != nil {
 			return err
 		}
 	}
 }
 
-// decisive returns the failure to tell of: that no further server is left says
-// less than what the last one did. It ends the tries all the same.
-func decisive(last, failure *engine.Failure) *engine.Failure {
+// reportedFailure returns the failure to report. If no further server is left, it returns
+// the previous attempt's failure, which says more, without a server so that retries stop.
+func reportedFailure(last, failure *engine.Failure) *engine.Failure {
 	if last == nil || failure.Server != "" {
 		return failure
 	}
-	told := *last
-	told.Server = ""
-	return &told
+	reported := *last
+	reported.Server = ""
+	return &reported
 }
 
-func (h *Handler) earnRetry() {
+func (h *Handler) creditRetryBudget() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.retries.Request()
 }
 
-// again prepares another attempt, or returns the error that ends the request.
-func (h *Handler) again(ctx context.Context, x *filter.Exchange, suspicion *verdicts.Request, f *engine.Failure, try int) error {
+// prepareRetry waits for the retry delay and reserves tokens for another attempt if the
+// failed one may have run, or returns the error that ends the request.
+func (h *Handler) prepareRetry(ctx context.Context, x *filter.Exchange, record *verdicts.Request, f *engine.Failure, try int) error {
 	final := result.New(f.Code, "%s", f.Code.Info().Meaning).Wrap(f.Cause)
-	known := retry.Failure{Dispatched: f.Dispatched, Refused: f.Refused, Answered: x.Answered}
+	retryState := retry.Failure{Dispatched: f.Dispatched, Refused: f.Refused, Answered: x.ResponseStarted}
 	switch {
 	case f.Code == result.CallerGone || f.Code == result.TokenCapPassed:
 		return final
-	case !retry.Allowed(known, x.NotRepeatable):
-		return lost(x, final)
-	case try >= h.opts.Attempts || f.Server == "", suspicion.EndsServers(ctx):
-		return final.After(backendRetry)
+	case !retry.Allowed(retryState, x.NotRepeatable):
+		return notRetryable(x, final)
+	case try >= h.opts.Attempts || f.Server == "", record.EndsServers(ctx):
+		return final.After(backendRetryAfter)
 	}
 	h.mu.Lock()
 	allowed := h.retries.Spend()
 	delay := retry.Delay(h.rng, try+1)
 	h.mu.Unlock()
 	if !allowed {
-		return final.After(backendRetry)
+		return final.After(backendRetryAfter)
 	}
 	if err := wait.For(ctx, delay); err != nil {
-		return final.After(backendRetry)
+		return final.After(backendRetryAfter)
 	}
-	if x.Extend != nil && !known.NotRun() {
-		return x.Extend(ctx, x.MaxTokens)
+	if x.ReserveMore != nil && !retryState.NotRun() {
+		return x.ReserveMore(ctx, x.MaxTokens)
 	}
 	return nil
 }
 
-// lost is the error of a dispatched attempt that may not be repeated.
-func lost(x *filter.Exchange, final *result.Error) error {
+// notRetryable returns the error for a dispatched attempt that must not be retried.
+func notRetryable(x *filter.Exchange, final *result.Error) error {
 	if x.NotRepeatable {
 		return result.New(result.OutcomeUnknown, "%s", result.OutcomeUnknown.Info().Meaning).Wrap(final)
 	}
 	return final
 }
 
-// try makes one attempt.
-func (h *Handler) try(ctx context.Context, x *filter.Exchange, known *verdicts.Request, body []byte, try int, tried map[string]bool) *engine.Failure {
-	prefix := x.Prefix
-	if apart := known.Affinity(); apart != 0 {
-		prefix = apart
+// tryServer picks a server and makes one attempt there.
+func (h *Handler) tryServer(ctx context.Context, x *filter.Exchange, record *verdicts.Request, body []byte, try int, tried map[string]bool) *engine.Failure {
+	prefix := x.PrefixHash
+	if isolated := record.Affinity(); isolated != 0 {
+		prefix = isolated
 	}
 	choice, ok := h.routes.Pick(route.Request{
 		Target: x.Target,
@@ -187,20 +189,20 @@
 	}
 	server := choice.Server
 	tried[server.ID] = true
-	a := &attempt{h: h, x: x, known: known, server: server, id: x.ID + "." + strconv.Itoa(try)}
+	a := &attempt{h: h, x: x, record: record, server: server, id: x.ID + "." + strconv.Itoa(try)}
 	h.routes.Started(server.ID)
 	failure := a.run(ctx, body)
 	h.routes.Finished(server.ID, failure != nil && failure.Code != result.CallerGone && !failure.Leaving)
-	a.note(failure)
-	a.judge(failure)
+	a.logOutcome(failure)
+	a.reportOutcome(failure)
 	return failure
 }
 
-// attempt is one dispatch.
+// attempt is one attempt to run a request on a backend server.
 type attempt struct {
 	h      *Handler
 	x      *filter.Exchange
-	known  *verdicts.Request
+	record *verdicts.Request
 	server table.Server
 	id     string
 	served int64
@@ -213,25 +215,25 @@
 	}
 	resp, f := a.h.engines.Post(ctx, a.server.Addr, path, a.id, body)
 	if f != nil {
-		return a.failed(f)
+		return a.chargeFailure(f)
 	}
 	defer resp.Close()
 	a.x.Dispatched = true
-	a.observe(resp)
+	a.recordServerState(resp)
 	if a.x.Kind == table.Service {
-		f = a.whole(ctx, resp)
+		f = a.readServiceResponse(ctx, resp)
 	} else {
-		f = a.stream(ctx, resp)
+		f = a.relayStream(ctx, resp)
 	}
 	if f != nil {
-		return a.failed(f)
+		return a.chargeFailure(f)
 	}
 	a.x.Tokens += a.served
 	return nil
 }
 
-// observe takes what the server says of itself.
-func (a *attempt) observe(resp *engine.Response) {
+// recordServerState records the load and drain state that the server reported.
+func (a *attempt) recordServerState(resp *engine.Response) {
 	if resp.Load >= 0 {
 		a.h.routes.Load(a.server.ID, resp.Load)
 	}
@@ -240,9 +242,9 @@
 	}
 }
 
-// failed charges what the attempt may have served: the engine's own count if
-// it answers a cancel, else the worst case.
-func (a *attempt) failed(f *engine.Failure) *engine.Failure {
+// chargeFailure charges the tokens that the attempt may have served: the engine's own
+// count if the engine answers a cancel request, else the maximum.
+func (a *attempt) chargeFailure(f *engine.Failure) *engine.Failure {
 	f.Server = a.server.ID
 	if f.Leaving {
 		a.h.routes.Left(a.server.ID)
@@ -255,12 +257,12 @@
 	}
 	a.x.Dispatched = true
 	if a.x.Kind == table.Model {
-		a.x.Tokens += a.servedAfterAll()
+		a.x.Tokens += a.cancelAndCount()
 	}
 	return f
 }
 
-func (a *attempt) servedAfterAll() int64 {
+func (a *attempt) cancelAndCount() int64 {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	n, err := a.h.engines.Cancel(ctx, a.server.Addr, a.id)
@@ -270,20 +272,20 @@
 	return max(a.served, n)
 }
 
-// whole relays a plain service's answer; it is sent when the billing record
-// is safe.
-func (a *attempt) whole(ctx context.Context, resp *engine.Response) *engine.Failure {
+// readServiceResponse reads a plain service's response, which is sent once the billing
+// record is written.
+func (a *attempt) readServiceResponse(ctx context.Context, resp *engine.Response) *engine.Failure {
 	reply, f := resp.Whole(ctx)
 	if f != nil {
 		return f
 	}
 	x := a.x
-	x.Reply, x.ReplyType = reply, resp.ContentType()
-	x.End = func() error { return writeWhole(x, x.ReplyType, reply) }
+	x.ServiceResponse, x.ServiceContentType = reply, resp.ContentType()
+	x.Finish = func() error { return writeResponse(x, x.ServiceContentType, reply) }
 	return nil
 }
 
-func writeWhole(x *filter.Exchange, contentType string, body []byte) error {
+func writeResponse(x *filter.Exchange, contentType string, body []byte) error {
 	h := x.W.Header()
 	h.Set("Content-Type", contentType)
 	h.Set(filter.HeaderRequestID, x.ID)
@@ -294,10 +296,10 @@
 	return nil
 }
 
-// stream reads a model's answer and relays it event by event, or gathers it
-// for a caller that wants it whole. The finishing events are held back until
-// the billing record is safe.
-func (a *attempt) stream(ctx context.Context, resp *engine.Response) *engine.Failure {
+// relayStream reads a model's response and forwards each event, or accumulates the text
+// for a non-streamed response. The final events are buffered until the billing record is
+// written.
+func (a *attempt) relayStream(ctx context.Context, resp *engine.Response) *engine.Failure {
 	out := newRelay(a.x)
 	for {
 		chunk, f := resp.Next(ctx)
@@ -305,26 +307,26 @@
 			return f
 		}
 		if chunk.Done {
-			return a.ended(out)
+			return a.finishStream(out)
 		}
-		if f := a.count(chunk); f != nil {
+		if f := a.countTokens(chunk); f != nil {
 			return f
 		}
-		if err := out.pass(chunk); err != nil {
+		if err := out.handleEvent(chunk); err != nil {
 			return &engine.Failure{Code: result.CallerGone, Dispatched: true, Cause: err}
 		}
 	}
 }
 
-// count adds an event's tokens, and refuses what passes the cap or cannot be
-// gathered for a caller that wants the answer whole.
-func (a *attempt) count(chunk engine.Chunk) *engine.Failure {
+// countTokens adds an event's tokens. It fails if the token cap is exceeded, or if a
+// non-streamed response would have to contain tool calls.
+func (a *attempt) countTokens(chunk engine.Chunk) *engine.Failure {
 	for _, p := range chunk.Parts {
 		if p.Content != "" {
 			a.served++
 		}
 		if p.Calls && !a.x.Stream {
-			return &engine.Failure{Code: result.BackendGarbage, Dispatched: true, Cause: errCalls}
+			return &engine.Failure{Code: result.BackendGarbage, Dispatched: true, Cause: errToolCalls}
 		}
 	}
 	a.served = max(a.served, chunk.Usage)
@@ -334,22 +336,22 @@
 	return nil
 }
 
-// errCalls is an answer with calls of tools for a caller that wants it whole:
-// only text is gathered, and an answer without its calls would not be whole.
-var errCalls = errors.New("calls of tools can be passed on in a stream only")
+// errToolCalls is returned for tool calls in a non-streamed response: only text is
+// accumulated, and a response without its tool calls would be incomplete.
+var errToolCalls = errors.New("tool calls are supported only in streamed responses")
 
-// ended accepts the end marker only after the finish reason of each choice: an
-// answer that lacks one was cut.
-func (a *attempt) ended(out *relay) *engine.Failure {
+// finishStream accepts the end marker only if each choice has a finish reason; otherwise
+// the response was truncated.
+func (a *attempt) finishStream(out *relay) *engine.Failure {
 	if !out.finished() {
-		return &engine.Failure{Code: result.BackendCut, Dispatched: true, Cause: fmt.Errorf("end marker without a finish reason")}
+		return &engine.Failure{Code: result.BackendCut, Dispatched: true, Cause: fmt.Errorf("end marker received before each choice had a finish reason")}
 	}
-	a.x.End = func() error { return out.end(a.served) }
+	a.x.Finish = func() error { return out.finish(a.served) }
 	return nil
 }
 
-// note logs and counts the attempt.
-func (a *attempt) note(f *engine.Failure) {
+// logOutcome logs the outcome of the attempt and counts it.
+func (a *attempt) logOutcome(f *engine.Failure) {
 	code := result.OK
 	if f != nil {
 		code = f.Code
@@ -360,11 +362,11 @@
 		log.Warn("attempt failed", zap.Error(f.Cause), zap.Bool("dispatched", f.Dispatched))
 		return
 	}
-	log.Debug("attempt done", zap.Int64("tokens", a.served))
+	log.Debug("attempt succeeded", zap.Int64("tokens", a.served))
 }
 
-// engineBody turns the caller's body into the engine's: always streamed, so
-// that the token cap can be enforced, and with the engine's own count.
+// engineBody returns the request body for the engine. It always requests a stream, so
+// that the token cap can be enforced, and the engine's own token count.
 func engineBody(x *filter.Exchange) ([]byte, error) {
 	if x.Kind == table.Service {
 		return x.Body, nil
@@ -378,7 +380,7 @@
 	return json.Marshal(fields)
 }
 
-// flush pushes what was written to the caller.
+// flush sends buffered data to the caller.
 func flush(w http.ResponseWriter) {
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
--- a/filter/forward/poison.go
+++ b/filter/forward/poison.go
@@ -9,27 +9,28 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// suspicion is what the fleet knows of a request: whether servers end under it.
-func (h *Handler) suspicion(x *filter.Exchange) *verdicts.Request {
+// crashRecord returns the fleet's record of whether servers crash while running the
+// request.
+func (h *Handler) crashRecord(x *filter.Exchange) *verdicts.Request {
 	return h.verdicts.Request(func() poison.Identity {
 		return poison.Identity{Account: x.Account.ID, Method: x.R.Method, Target: x.R.URL.RequestURI(), Body: x.Body}
 	})
 }
 
-// process names a server's process, as far as the table of pools does.
-func process(s table.Server) placement.Server {
+// serverIdentity identifies a server by the ID and address that the pool's entry holds.
+func serverIdentity(s table.Server) placement.Server {
 	return placement.Server{ID: s.ID, Address: s.Addr}
 }
 
-// judge tells the fleet how an attempt ended, as far as it shows whether servers end
-// under the request.
-func (a *attempt) judge(f *engine.Failure) {
+// reportOutcome reports to the fleet whether the attempt succeeded or the server broke the
+// connection, as evidence of whether servers crash while running the request.
+func (a *attempt) reportOutcome(f *engine.Failure) {
 	switch {
 	case f == nil:
-		a.known.Ran(a.x.Target)
+		a.record.Ran(a.x.Target)
 	case f.Broken && !f.Leaving:
-		s := process(a.server)
+		s := serverIdentity(a.server)
 		s.Service = a.x.Target
-		a.known.Broke(s)
+		a.record.Broke(s)
 	}
 }
--- a/filter/forward/relay.go
+++ b/filter/forward/relay.go
@@ -11,42 +11,43 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// relay passes a model's answer to the caller.
+// relay forwards a model's response to the caller.
 type relay struct {
-	x       *filter.Exchange
-	choices map[int]*gathered
-	tail    [][]byte // finishing events, held back
+	x           *filter.Exchange
+	choices     map[int]*choiceState
+	finalEvents [][]byte // final events, buffered until the billing record is written
 }
 
-// gathered is what came of one choice.
-type gathered struct {
-	text   strings.Builder // for a caller that wants the answer whole
+// choiceState is the state of one choice of the response.
+type choiceState struct {
+	text   strings.Builder // for a non-streamed response
 	finish string
 }
 
 func newRelay(x *filter.Exchange) *relay {
-	return &relay{x: x, choices: map[int]*gathered{}}
+	return &relay{x: x, choices: map[int]*choiceState{}}
 }
 
-// pass takes one event.
-func (r *relay) pass(c engine.Chunk) error {
+// handleEvent processes one event: it forwards or buffers the event for a streamed
+// response, and accumulates its text otherwise.
+func (r *relay) handleEvent(c engine.Chunk) error {
 	for _, p := range c.Parts {
-		r.gather(p)
+		r.accumulate(p)
 	}
 	if !r.x.Stream {
 		return nil
 	}
-	if len(r.tail) > 0 || r.finished() {
-		r.tail = append(r.tail, c.Data)
+	if len(r.finalEvents) > 0 || r.finished() {
+		r.finalEvents = append(r.finalEvents, c.Data)
 		return nil
 	}
 	return r.write(c.Data)
 }
 
-func (r *relay) gather(p engine.Part) {
+func (r *relay) accumulate(p engine.Part) {
 	g := r.choices[p.Choice]
 	if g == nil {
-		g = &gathered{}
+		g = &choiceState{}
 		r.choices[p.Choice] = g
 	}
 	if p.Finish != "" {
@@ -57,8 +58,7 @@
 	}
 }
 
-// finished tells whether the answer has begun and each choice has its finish
-// reason.
+// finished reports whether the response has begun and each choice has a finish reason.
 func (r *relay) finished() bool {
 	for _, g := range r.choices {
 		if g.finish == "" {
@@ -70,11 +70,11 @@
 
 func (r *relay) write(data []byte) error {
 	w := r.x.W
-	if !r.x.Answered {
+	if !r.x.ResponseStarted {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("Cache-Control", "no-cache")
 		w.Header().Set(filter.HeaderRequestID, r.x.ID)
-		r.x.Answered = true
+		r.x.ResponseStarted = true
 	}
 	if err := writeEvent(w, data); err != nil {
 		return err
@@ -92,12 +92,12 @@
 	return err
 }
 
-// end sends what was held back.
-func (r *relay) end(tokens int64) error {
+// finish sends the buffered events, or the complete non-streamed response.
+func (r *relay) finish(tokens int64) error {
 	if !r.x.Stream {
-		return r.endWhole(tokens)
+		return r.finishCompletion(tokens)
 	}
-	for _, data := range r.tail {
+	for _, data := range r.finalEvents {
 		if err := r.write(data); err != nil {
 			return result.New(result.CallerGone, "").Wrap(err)
 		}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// completion is the usual shape of a whole chat answer.
+// completion is the JSON body of a non-streamed chat completion.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -132,19 +132,19 @@
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-func (r *relay) endWhole(tokens int64) error {
-	whole := completion{ID: r.x.ID, Object: "chat.completion", Model: r.x.Target, Usage: usage{CompletionTokens: tokens}}
+func (r *relay) finishCompletion(tokens int64) error {
+	response := completion{ID: r.x.ID, Object: "chat.completion", Model: r.x.Target, Usage: usage{CompletionTokens: tokens}}
 	for _, index := range slices.Sorted(maps.Keys(r.choices)) {
 		g := r.choices[index]
-		whole.Choices = append(whole.Choices, choice{
+		response.Choices = append(response.Choices, choice{
 			Index:        index,
 			Message:      chatMessage{Role: "assistant", Content: g.text.String()},
 			FinishReason: g.finish,
 		})
 	}
-	body, err := json.Marshal(whole)
+	body, err := json.Marshal(response)
 	if err != nil {
 		return err
 	}
-	return writeWhole(r.x, "application/json", body)
+	return writeResponse(r.x, "application/json", body)
 }
--- a/filter/limit/limit.go
+++ b/filter/limit/limit.go
@@ -1,7 +1,7 @@
-// Package limit holds requests to the limits of their table rows.
+// Package limit enforces the limits of the requests' table rows.
 //
-// The limits are the fleet's. Each router enforces its share, the limit
-// divided by the live routers, without a call to the store.
+// The limits apply to the whole fleet. Each router enforces its share, which is the limit
+// divided by the number of live routers, without calling the store.
 package limit
 
 import (
@@ -18,20 +18,21 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// retryIn is when to come back after a limit on requests in flight.
-const retryIn = 500 * time.Millisecond
+// inFlightRetryAfter is the Retry-After value when the limit on requests in flight is
+// reached.
+const inFlightRetryAfter = 500 * time.Millisecond
 
-// Config gives the configuration in force and the number of live routers.
+// Config provides the configuration in force and the number of live routers.
 type Config interface {
 	State() *table.State
-	// Blocked tells whether the rows of the request await a change's outcome.
+	// Blocked reports whether the outcome of a change to the request's rows is pending.
 	Blocked(account, target string) bool
 	// Routers returns the number of live routers, at least 1.
 	Routers() int
 }
 
-// gauge is this router's use of one row's limits.
-type gauge struct {
+// usage tracks this router's use of the limits of one account and target.
+type usage struct {
 	inFlight int
 	requests *rate.Limiter
 	tokens   *rate.Limiter
@@ -42,12 +43,12 @@
 	config Config
 
 	mu     sync.Mutex
-	gauges map[string]*gauge
+	usages map[string]*usage
 }
 
 // New returns the filter.
 func New(next filter.Handler, config Config) filter.Handler {
-	return &handler{next: next, config: config, gauges: map[string]*gauge{}}
+	return &handler{next: next, config: config, usages: map[string]*usage{}}
 }
 
 // Serve implements filter.Handler.
@@ -55,70 +56,69 @@
 	if h.config.Blocked(x.Account.ID, x.Target) {
 		return result.New(result.TablePending, "a change of the table is not yet decided here").After(time.Second)
 	}
-	limits, name := combined(h.config.State().RowsFor(x.Account.ID, x.Target), x)
-	if err := h.enter(x, limits, name); err != nil {
+	limits, name := combineRows(h.config.State().RowsFor(x.Account.ID, x.Target), x)
+	if err := h.acquire(x, limits, name); err != nil {
 		return err
 	}
-	defer h.leave(name)
+	defer h.release(name)
 	return h.next.Serve(ctx, x)
 }
 
-// combined adds up the rows of all sites: the limits of an account's target
-// hold over its sites together, so they add up; a site without a limit lifts
-// that limit.
-func combined(rows map[string]table.Row, x *filter.Exchange) (table.Row, string) {
+// combineRows returns the sum of the rows' limits, because an account's limits for a target
+// apply to all sites together. If one site has no limit, the sum has none.
+func combineRows(rows map[string]table.Row, x *filter.Exchange) (table.Row, string) {
 	var sum table.Row
-	openInFlight, openRate, openTokens := len(rows) == 0, len(rows) == 0, len(rows) == 0
+	unlimitedInFlight, unlimitedRate, unlimitedTokens := len(rows) == 0, len(rows) == 0, len(rows) == 0
 	for _, r := range rows {
 		sum.MaxInFlight += r.MaxInFlight
 		sum.RatePerSecond += r.RatePerSecond
 		sum.TokensPerSecond += r.TokensPerSecond
-		openInFlight = openInFlight || r.MaxInFlight == 0
-		openRate = openRate || r.RatePerSecond == 0
-		openTokens = openTokens || r.TokensPerSecond == 0
+		unlimitedInFlight = unlimitedInFlight || r.MaxInFlight == 0
+		unlimitedRate = unlimitedRate || r.RatePerSecond == 0
+		unlimitedTokens = unlimitedTokens || r.TokensPerSecond == 0
 	}
-	if openInFlight {
+	if unlimitedInFlight {
 		sum.MaxInFlight = 0
 	}
-	if openRate {
+	if unlimitedRate {
 		sum.RatePerSecond = 0
 	}
-	if openTokens {
+	if unlimitedTokens {
 		sum.TokensPerSecond = 0
 	}
 	return sum, x.Account.ID + "/" + x.Target
 }
 
-func (h *handler) enter(x *filter.Exchange, limits table.Row, name string) error {
+func (h *handler) acquire(x *filter.Exchange, limits table.Row, name string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	routers := float64(h.config.Routers())
-	g := h.gauge(name)
-	g.set(limits, routers)
+	g := h.usageOf(name)
+	g.setLimits(limits, routers)
 	if limits.MaxInFlight > 0 && g.inFlight >= int(math.Ceil(float64(limits.MaxInFlight)/routers)) {
-		return result.New(result.TooManyInFlight, "%s has its limit of requests in flight", name).After(retryIn)
+		return result.New(result.TooManyInFlight, "%s has its limit of requests in flight", name).After(inFlightRetryAfter)
 	}
-	if err := take(g.requests, 1, "requests", name); err != nil {
+	if err := consume(g.requests, 1, "requests", name); err != nil {
 		return err
 	}
-	if err := take(g.tokens, int(x.MaxTokens), "tokens", name); err != nil {
+	if err := consume(g.tokens, int(x.MaxTokens), "tokens", name); err != nil {
 		return err
 	}
 	g.inFlight++
 	return nil
 }
 
-func (h *handler) gauge(name string) *gauge {
-	g, ok := h.gauges[name]
+func (h *handler) usageOf(name string) *usage {
+	g, ok := h.usages[name]
 	if !ok {
-		g = &gauge{requests: rate.NewLimiter(rate.Inf, 1), tokens: rate.NewLimiter(rate.Inf, 1)}
-		h.gauges[name] = g
+		g = &usage{requests: rate.NewLimiter(rate.Inf, 1), tokens: rate.NewLimiter(rate.Inf, 1)}
+		h.usages[name] = g
 	}
 	return g
 }
 
-// set adapts the limiters to the row and the number of routers.
-func (g *gauge) set(limits table.Row, routers float64) {
+// setLimits updates the limiters to this router's share of the limits.
+func (g *usage) setLimits(limits table.Row, routers float64) {
 	setLimiter(g.requests, limits.RatePerSecond/routers)
 	setLimiter(g.tokens, limits.TokensPerSecond/routers)
 }
@@ -134,8 +134,8 @@
 	}
 }
 
-// take takes n from a limiter or tells when to come back.
-func take(l *rate.Limiter, n int, what, name string) error {
+// consume consumes n tokens of a limiter, or fails with the time to wait.
+func consume(l *rate.Limiter, n int, what, name string) error {
 	if l.Limit() == rate.Inf {
 		return nil
 	}
@@ -149,8 +149,8 @@
 	return result.New(result.RateLimited, "%s has its limit of %s a second", name, what).After(delay)
 }
 
-func (h *handler) leave(name string) {
+func (h *handler) release(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gauges[name].inFlight--
+	h.usages[name].inFlight--
 }
--- a/filter/reserve/reserve.go
+++ b/filter/reserve/reserve.go
@@ -1,7 +1,6 @@
-// Package reserve takes a request's worst case from its budget before
-// dispatch, and gives it a way to settle what was really served. The settling
-// itself comes after the billing record, so that at every moment a spent token
-// is either reserved or billed.
+// Package reserve takes a request's maximum number of tokens from its budget before
+// dispatch, and provides the function that settles the tokens actually served. Settling
+// follows the billing record, so that a spent token is always reserved or billed.
 package reserve
 
 import (
@@ -11,11 +10,11 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// Budgets is the router's part of the prepaid budgets.
+// Budgets is the router's interface to the prepaid budgets.
 type Budgets interface {
-	// Reserve takes tokens, or fails with the reason.
+	// Reserve reserves tokens, or fails with the reason.
 	Reserve(ctx context.Context, budget string, tokens int64) error
-	// Settle ends a reservation of which actual tokens were served.
+	// Settle ends a reservation and charges the tokens actually served.
 	Settle(budget string, reserved, actual int64)
 }
 
@@ -38,12 +37,12 @@
 		return err
 	}
 	reserved := x.MaxTokens
-	x.Extend = func(ctx context.Context, tokens int64) error {
+	x.ReserveMore = func(ctx context.Context, tokens int64) error {
 		if err := h.budgets.Reserve(ctx, x.Budget, tokens); err != nil {
 			return err
 		}
 		reserved += tokens
-		return x.ClaimMore(ctx, tokens)
+		return x.RaiseClaim(ctx, tokens)
 	}
 	x.Settle = func() { h.budgets.Settle(x.Budget, reserved, x.Tokens) }
 	return h.next.Serve(ctx, x)
--- a/router/callers.go
+++ b/router/callers.go
@@ -68,7 +68,7 @@
 		err = r.chain.Serve(req.Context(), x)
 	}
 	r.finishRequest(x, err)
-	if err != nil && x.Answered {
+	if err != nil && x.ResponseStarted {
 		// Returning normally would send the final chunk, so a caller that relies on
 		// HTTP framing would take the partial response as complete.
 		panic(http.ErrAbortHandler)
