--- a/result/markdown.go
+++ b/result/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns docs/RESULT-CODES.md.
+// Markdown returns the contents of docs/RESULT-CODES.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
--- a/result/result.go
+++ b/result/result.go
@@ -1,8 +1,8 @@
 // Package result defines gaplink's numbered result codes.
 //
-// Every refusal and every failure that a caller or an operator sees carries
-// one of these codes. The code alone says whether the request certainly did
-// not run, so a caller never has to guess from an HTTP status.
+// Every error that a caller or an operator sees carries one of these codes. The code
+// alone tells whether the request certainly did not run, so that callers need not infer
+// it from the HTTP status.
 package result
 
 import (
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Code is the number of a result. Codes are stable: a number is never reused.
+// Code is a numeric result code. Codes are stable: a number is never reused.
 type Code int
 
-// The codes, by group: 1xxx input, 2xxx account and budget, 3xxx capacity and
-// routing, 4xxx outcome of a dispatched request, 5xxx platform and fleet,
-// 6xxx operator changes, 7xxx settings.
+// The result codes by group: 1xxx input, 2xxx account and budget, 3xxx capacity and
+// routing, 4xxx outcome of a dispatched request, 5xxx platform and fleet, 6xxx operator
+// changes, 7xxx settings.
 const (
 	OK Code = 0
 
@@ -70,19 +70,19 @@
 	ParametersMismatch Code = 7002
 )
 
-// Info describes one code. It is the single source of docs/RESULT-CODES.md.
+// Info describes one code. docs/RESULT-CODES.md is generated from it.
 type Info struct {
 	// Code is the number.
 	Code Code
 	// Name is the short identifier shown beside the number.
 	Name string
-	// HTTPStatus is the status used towards callers.
+	// HTTPStatus is the HTTP status of the response to the caller.
 	HTTPStatus int
-	// NotRun tells that the request certainly did not run.
+	// NotRun is set if the request certainly did not run.
 	NotRun bool
 	// Meaning says what happened.
 	Meaning string
-	// Action says what the reader should do.
+	// Action says what the caller or operator should do.
 	Action string
 }
 
@@ -148,7 +148,7 @@
 	return m
 }
 
-// Table returns all codes in ascending order of their groups.
+// Table returns the descriptions of all codes in ascending order.
 func Table() []Info {
 	return append([]Info(nil), table...)
 }
@@ -166,14 +166,14 @@
 	return c.Info().Name
 }
 
-// Error is an error with a result code. Callers see Code, Detail and
-// RetryAfter; the wrapped error is for logs alone.
+// Error is an error with a result code. Callers see Code, Detail and RetryAfter; the
+// wrapped error is only logged.
 type Error struct {
 	// Code is the result code.
 	Code Code
-	// Detail says in one sentence what was wrong; it may be shown to callers.
+	// Detail describes the error in one sentence; it may be shown to callers.
 	Detail string
-	// RetryAfter tells when to come back; 0 means that waiting does not help.
+	// RetryAfter is the delay before a retry; 0 means that waiting does not help.
 	RetryAfter time.Duration
 	// Cause is the wrapped error, if any.
 	Cause error
@@ -199,7 +199,7 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets when to come back and returns the error.
+// After sets the delay before a retry and returns the error.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -8,7 +8,7 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// TestPageMatchesTable keeps docs/RESULT-CODES.md equal to the Go table.
+// TestPageMatchesTable checks that docs/RESULT-CODES.md matches the table of codes.
 func TestPageMatchesTable(t *testing.T) {
 	const page = "../docs/RESULT-CODES.md"
 	have, err := os.ReadFile(page)
