--- a/lab/soak/disruption.go
+++ b/lab/soak/disruption.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Subject is what a fault disturbs.
-type Subject string
+// Component is a part of the fleet that a fault disrupts.
+type Component string
 
-// StoreItself is the store, for all routers.
-const StoreItself Subject = "store"
+// StoreComponent is the store as seen by all routers.
+const StoreComponent Component = "store"
 
-// ProcessOf is a router's process.
-func ProcessOf(router int) Subject { return Subject(fmt.Sprint("process ", router)) }
+// RouterProcess returns the component for a router's process.
+func RouterProcess(router int) Component { return Component(fmt.Sprint("process ", router)) }
 
-// StopOf is a planned stop of a router's process and the start after it.
-func StopOf(router int) Subject { return Subject(fmt.Sprint("stop ", router)) }
+// PlannedStop returns the component for a planned stop of a router's process and the restart that
+// follows.
+func PlannedStop(router int) Component { return Component(fmt.Sprint("stop ", router)) }
 
-// StoreLinkOf is the link between a router and the store.
-func StoreLinkOf(router int) Subject { return Subject(fmt.Sprint("store link ", router)) }
+// StoreLink returns the component for the link between a router and the store.
+func StoreLink(router int) Component { return Component(fmt.Sprint("store link ", router)) }
 
-// ServerAt is a backend server's place and the link to it.
-func ServerAt(place int) Subject { return Subject(fmt.Sprint("server ", place)) }
+// ServerAtSlot returns the component for the backend server at a slot and the link to it.
+func ServerAtSlot(slot int) Component { return Component(fmt.Sprint("server ", slot)) }
 
-type span struct{ from, to time.Time }
+type interval struct{ from, to time.Time }
 
-// Disruptions remember when what was disturbed. The zero value is ready.
+// Disruptions records when each component was disrupted. The zero value is ready to use.
 type Disruptions struct {
-	spans map[Subject][]*span
+	intervals map[Component][]*interval
 }
 
-// Add notes a disturbance that lasts until the function that is returned is called
-// with its end.
-func (d *Disruptions) Add(s Subject, from time.Time) (end func(time.Time)) {
-	if d.spans == nil {
-		d.spans = map[Subject][]*span{}
+// Add records a disruption that starts at from. The returned function sets its end.
+func (d *Disruptions) Add(s Component, from time.Time) (end func(time.Time)) {
+	if d.intervals == nil {
+		d.intervals = map[Component][]*interval{}
 	}
-	one := &span{from: from}
-	d.spans[s] = append(d.spans[s], one)
-	return func(at time.Time) { one.to = at }
+	iv := &interval{from: from}
+	d.intervals[s] = append(d.intervals[s], iv)
+	return func(at time.Time) { iv.to = at }
 }
 
-// Calm tells whether nothing disturbed any of the subjects in that time.
-func (d *Disruptions) Calm(from, to time.Time, subjects ...Subject) bool {
-	for _, s := range subjects {
-		for _, one := range d.spans[s] {
-			if !one.from.After(to) && (one.to.IsZero() || !one.to.Before(from)) {
+// Undisrupted reports whether none of the components was disrupted between from and to.
+func (d *Disruptions) Undisrupted(from, to time.Time, components ...Component) bool {
+	for _, s := range components {
+		for _, iv := range d.intervals[s] {
+			if !iv.from.After(to) && (iv.to.IsZero() || !iv.to.Before(from)) {
 				return false
 			}
 		}
--- a/lab/soak/ending.go
+++ b/lab/soak/ending.go
@@ -12,7 +12,7 @@
 	"github.com/gaplink/gaplink/platform/standin"
 )
 
-// Ending is a kind of answer of a backend server, by how it ends.
+// Ending is a kind of backend server answer, named after how it ends.
 type Ending string
 
 // The endings.
@@ -44,37 +44,36 @@
 	EndsServer         Ending = "the server ends"
 )
 
-// wholeShare of the answers end well.
-const wholeShare = 0.7
+// completeProbability is the probability that an answer is drawn from completeEndings.
+const completeProbability = 0.7
 
-// misjoinShare of the runs that go on with a stream do not begin where it broke off.
-const misjoinShare = 0.3
+// misjoinProbability is the probability that a run that resumes a stream doesn't continue where the
+// stream broke off.
+const misjoinProbability = 0.3
 
-var misjoined = []Ending{GapInIDs, EventsFromTheStart}
+var misjoinedEndings = []Ending{GapInIDs, EventsFromTheStart}
 
 var (
-	wholeEndings = []Ending{EndsByChunks, EndsByChunks, EndsByLength}
-	otherEndings = []Ending{
+	completeEndings = []Ending{EndsByChunks, EndsByChunks, EndsByLength}
+	otherEndings    = []Ending{
 		EndsByClose, CutClosed, CutReset, CutSilent, CutUnframed, CutUnframedReset, CutShortOfLength, ClosedAtOnce, ResetAtOnce,
 		SilentAtOnce, Garbage, ServerError, ErrorCut, Refusal, RefusalUnnamed, FalsePromise, OtherRequest, Unsigned, SecondAnswer,
 		SecondAnswerLate, GapInIDs, EventsFromTheStart,
 	}
 )
 
-// exactEndings are those by which servers hand out all that a request may cost, or
-// nothing. What is charged to an account that meets only these is no more than what
-// it got, so that a charge that is missing shows.
+// exactEndings hand out either everything that a request may cost or nothing. An account that meets
+// only these is charged no more than it received, so that a missing charge is detected.
 var exactEndings = []Ending{EndsByChunks, Refusal, OtherRequest, Unsigned, SecondAnswer, SecondAnswerLate}
 
-// connection is how an answer is framed and what becomes of its connection.
-type connection struct {
+// connBehavior is how an answer is framed and what happens to its connection afterwards.
+type connBehavior struct {
 	framing standin.Framing
 	ending  standin.Ending
 }
 
-// connections are those of the endings that are not in chunks, or do not leave the
-// connection open.
-var connections = map[Ending]connection{
+// connBehaviors lists the endings that aren't chunked or don't keep the connection open.
+var connBehaviors = map[Ending]connBehavior{
 	EndsByLength:     {standin.Length, standin.Open},
 	EndsByClose:      {standin.ByClose, standin.Closed},
 	CutClosed:        {standin.Chunked, standin.Closed},
@@ -94,72 +93,73 @@
 	FalsePromise:     {standin.Length, standin.Open},
 }
 
-func connect(e Ending, a *standin.Answer) {
-	c := connections[e]
+func setConnBehavior(e Ending, a *standin.Answer) {
+	c := connBehaviors[e]
 	a.Framing, a.Ending = c.framing, c.ending
 }
 
-// NotRun tells whether the server says that it did not run the request.
+// NotRun reports whether the server states that it did not run the request.
 func (e Ending) NotRun() bool { return e == Refusal || e == RefusalUnnamed }
 
-// Sound tells whether a router can only pass the answer on: it is whole, says so,
-// and nothing follows it.
-func (e Ending) Sound() bool { return e == EndsByChunks || e == EndsByLength }
+// SimplyComplete reports whether the answer is complete, is framed so that its end is proved, and
+// is followed by nothing. A router has no choice but to forward such an answer.
+func (e Ending) SimplyComplete() bool { return e == EndsByChunks || e == EndsByLength }
 
-// drawn returns the generator for one run of a request.
-func drawn(seed uint64, id string, run int) *rand.Rand {
+// runRand returns the random generator for one run of a request.
+func runRand(seed uint64, id string, run int) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, id, " ", run) // never fails
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// DrawAnswer draws how a server answers a request that arrived so often before.
+// DrawAnswer draws a server's answer to a request that arrived before times before.
 func DrawAnswer(seed uint64, r standin.Run, before int, q Request) (standin.Answer, Ending) {
-	rng := drawn(seed, r.RequestID, before)
+	rng := runRand(seed, r.RequestID, before)
 	others := otherEndings
-	if q.Account == exact {
+	if q.Account == exactAccount {
 		others = exactEndings
 	}
-	e := wholeEndings[rng.IntN(len(wholeEndings))]
-	if rng.Float64() >= wholeShare {
+	e := completeEndings[rng.IntN(len(completeEndings))]
+	if rng.Float64() >= completeProbability {
 		e = others[rng.IntN(len(others))]
 	}
-	if before > 0 && r.LastEvent != "" && rng.Float64() < misjoinShare {
-		e = misjoined[rng.IntN(len(misjoined))]
+	if before > 0 && r.LastEvent != "" && rng.Float64() < misjoinProbability {
+		e = misjoinedEndings[rng.IntN(len(misjoinedEndings))]
 	}
-	from, _ := strconv.Atoi(r.LastEvent) // absent: from the start
-	return answer(rng, e, r.RequestID, from, q.Events), e
+	from, _ := strconv.Atoi(r.LastEvent) // no Last-Event-Id: start with the first event
+	return buildAnswer(rng, e, r.RequestID, from, q.Events), e
 }
 
 const (
-	// longestPause bounds the time between two pieces of an answer.
-	longestPause = 15 * time.Millisecond
-	// slowShare of the answers take so much longer, so that stops meet some at work.
-	slowShare  = 0.25
-	slowFactor = 8
-	// lateness is when a late second answer comes.
-	lateness = 20 * time.Millisecond
+	// maxPause bounds the time between two pieces of an answer.
+	maxPause = 15 * time.Millisecond
+	// slowProbability is the probability that an answer's pauses are slowFactor times longer, so
+	// that planned stops occur while requests are in flight.
+	slowProbability = 0.25
+	slowFactor      = 8
+	// lateAnswerDelay is the delay of a late second answer.
+	lateAnswerDelay = 20 * time.Millisecond
 )
 
-func answer(rng *rand.Rand, e Ending, id string, from, events int) standin.Answer {
+func buildAnswer(rng *rand.Rand, e Ending, id string, from, events int) standin.Answer {
 	a := standin.Answer{RequestID: id, Pieces: pieces(id, from, events)}
 	if events > 0 {
 		a.Fields = []string{"Content-Type: text/event-stream"}
 	}
 	if rng.IntN(2) == 0 {
-		a.Pause = time.Duration(rng.Int64N(int64(longestPause)))
+		a.Pause = time.Duration(rng.Int64N(int64(maxPause)))
 	}
-	if rng.Float64() < slowShare {
+	if rng.Float64() < slowProbability {
 		a.Pause *= slowFactor
 	}
-	connect(e, &a)
+	setConnBehavior(e, &a)
 	switch e {
 	case CutClosed, CutReset, CutSilent, CutUnframed, CutUnframedReset, CutShortOfLength:
-		cut(rng, &a)
+		cutAnswer(rng, &a)
 	case ClosedAtOnce, ResetAtOnce, SilentAtOnce, Garbage:
-		headless(e, &a)
+		setHeadless(e, &a)
 	case ServerError, ErrorCut, Refusal, RefusalUnnamed, FalsePromise:
-		fail(e, &a)
+		setFailure(e, &a)
 	case OtherRequest:
 		a.RequestID = "x" + id
 	case Unsigned:
@@ -167,17 +167,17 @@
 	case SecondAnswer, SecondAnswerLate:
 		a.After = standin.WholeAnswer(id, "second "+standin.PlainBody(id))
 		if e == SecondAnswerLate {
-			a.AfterDelay = lateness
+			a.AfterDelay = lateAnswerDelay
 		}
 	case GapInIDs:
-		leaveOneOut(rng, from, &a)
+		dropEvent(rng, from, &a)
 	case EventsFromTheStart:
 		a.Pieces = pieces(id, 0, events)
 	}
 	return a
 }
 
-// pieces are the events after from, or the body of a plain answer.
+// pieces returns the events after from, or the body of a plain answer.
 func pieces(id string, from, events int) []string {
 	if events == 0 {
 		return []string{standin.PlainBody(id)}
@@ -189,21 +189,21 @@
 	return list
 }
 
-// cut ends an answer after some events, inside one or before the first.
-func cut(rng *rand.Rand, a *standin.Answer) {
+// cutAnswer truncates an answer before its first event, after some events or inside one.
+func cutAnswer(rng *rand.Rand, a *standin.Answer) {
 	a.Cut = true
 	most := len(a.Pieces) - 1
 	if a.Framing == standin.Chunked {
-		most++ // all but the last chunk
+		most++ // a chunked answer may contain all events and lack only the last chunk
 	}
-	whole := rng.IntN(max(most+1, 1))
-	a.Sent = len(strings.Join(a.Pieces[:whole], ""))
-	if whole < len(a.Pieces) && rng.IntN(2) == 0 {
-		a.Sent += rng.IntN(len(a.Pieces[whole]))
+	complete := rng.IntN(max(most+1, 1))
+	a.Sent = len(strings.Join(a.Pieces[:complete], ""))
+	if complete < len(a.Pieces) && rng.IntN(2) == 0 {
+		a.Sent += rng.IntN(len(a.Pieces[complete]))
 	}
 }
 
-func headless(e Ending, a *standin.Answer) {
+func setHeadless(e Ending, a *standin.Answer) {
 	a.Headless = true
 	a.Pieces = nil
 	if e == Garbage {
@@ -211,7 +211,7 @@
 	}
 }
 
-func fail(e Ending, a *standin.Answer) {
+func setFailure(e Ending, a *standin.Answer) {
 	a.Status = http.StatusServiceUnavailable
 	a.Fields = nil
 	a.Pieces = []string{"failure of " + a.RequestID + "\n"}
@@ -230,8 +230,8 @@
 	}
 }
 
-// leaveOneOut leaves out the first event of a resumed run, or one in the middle.
-func leaveOneOut(rng *rand.Rand, from int, a *standin.Answer) {
+// dropEvent removes the first event of a resumed run, or an event in the middle of any other run.
+func dropEvent(rng *rand.Rand, from int, a *standin.Answer) {
 	if len(a.Pieces) < 3 {
 		return
 	}
@@ -242,21 +242,22 @@
 	a.Pieces = append(append([]string(nil), a.Pieces[:gap]...), a.Pieces[gap+1:]...)
 }
 
-// eventsIn counts the whole events that an answer hands out.
-func eventsIn(a standin.Answer) int64 { return int64(strings.Count(a.SentBody(), "\n\n")) }
+// countEvents returns the number of complete events that an answer hands out.
+func countEvents(a standin.Answer) int64 { return int64(strings.Count(a.SentBody(), "\n\n")) }
 
-// silent is what a server sends that ends under a request: nothing.
-func silent() standin.Answer {
+// silentAnswer returns the answer of a server that crashes while it runs the request: no bytes at
+// all.
+func silentAnswer() standin.Answer {
 	a := standin.Answer{}
-	connect(SilentAtOnce, &a)
-	headless(SilentAtOnce, &a)
+	setConnBehavior(SilentAtOnce, &a)
+	setHeadless(SilentAtOnce, &a)
 	return a
 }
 
-// refusal is the answer of a server that takes no work.
-func refusal(id string) standin.Answer {
+// refusalAnswer returns the answer of a server that accepts no requests.
+func refusalAnswer(id string) standin.Answer {
 	a := standin.Answer{RequestID: id}
-	connect(Refusal, &a)
-	fail(Refusal, &a)
+	setConnBehavior(Refusal, &a)
+	setFailure(Refusal, &a)
 	return a
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -18,18 +18,18 @@
 // account is a client account of the run.
 type account struct {
 	name string
-	// budget is what it starts with, and raise what a new version may add.
+	// budget is the initial budget, and raise is what a configuration version may add to it.
 	budget, raise int64
 }
 
 func (a account) key() string { return "key-" + a.name }
 
-// exact is the account whose charges can be compared closely.
-const exact = "exact"
+// exactAccount is the account whose charges can be compared closely; see exactEndings.
+const exactAccount = "exact"
 
-// accounts are two that never run out, one that does and is topped up, and one
-// that soon has run out.
-var accounts = []account{{"plenty", 1 << 40, 0}, {exact, 1 << 40, 0}, {"topped-up", 10000, 1000}, {"scarce", 5000, 0}}
+// accounts are two that never run out, one that runs out and is topped up, and one that soon runs
+// out.
+var accounts = []account{{"plenty", 1 << 40, 0}, {exactAccount, 1 << 40, 0}, {"topped-up", 10000, 1000}, {"scarce", 5000, 0}}
 
 func markerKey(version int64) string { return fmt.Sprint("key-at-", version) }
 
@@ -40,57 +40,58 @@
 const (
 	routeTimeoutMs = 2000
 	objectiveMs    = 1000
-	// settled is how long a change of a process may take to be over.
-	settled = 3 * time.Second
-	// storeLinkDelay, serverLinkDelay and storeDelay are added to each piece or call.
+	// settleTimeout bounds the wait until a router is ready again after a fault of its process.
+	settleTimeout = 3 * time.Second
+	// storeLinkDelay and serverLinkDelay are added to each piece of data on a link, and storeDelay
+	// to each store call.
 	storeLinkDelay  = 100 * time.Millisecond
 	serverLinkDelay = 20 * time.Millisecond
 	storeDelay      = 300 * time.Millisecond
-	// lateBy is how late late writes are.
-	lateBy = 700 * time.Millisecond
-	// serveOn is how much longer than the bound a leaving server serves.
-	serveOn = 2 * time.Second
+	// lateWriteDelay is the delay of late writes.
+	lateWriteDelay = 700 * time.Millisecond
+	// leaveMargin is how long a leaving server keeps serving beyond the Leaving bound.
+	leaveMargin = 2 * time.Second
 )
 
-// fleet is a store, backend servers and routers, with proxies between them.
+// fleet is a store, backend servers and routers, connected by fault-injecting proxies.
 type fleet struct {
-	oracle *Oracle
-	tally  *tally
-	store  *standin.Store
-	listen net.Listener
-	links  []*Proxy // of each router to the store
-	places []*place
+	oracle     *Oracle
+	counters   *runCounters
+	store      *standin.Store
+	listen     net.Listener
+	storeLinks []*Proxy // of each router to the store
+	slots      []*serverSlot
 
-	mu          sync.Mutex
-	routers     []*router
-	storeFaults map[Fault]int
-	version     int64
-	budgets     map[string]int64
-	changes     sync.WaitGroup
-	errs        []error
+	mu             sync.Mutex
+	routers        []*router
+	storeFaults    map[Fault]int
+	version        int64
+	budgets        map[string]int64
+	pendingChanges sync.WaitGroup
+	errs           []error
 }
 
-func newFleet(o *Oracle, t *tally) (*fleet, error) {
-	f := &fleet{oracle: o, tally: t, store: standin.NewStore(), storeFaults: map[Fault]int{}, budgets: map[string]int64{}}
+func newFleet(o *Oracle, t *runCounters) (*fleet, error) {
+	f := &fleet{oracle: o, counters: t, store: standin.NewStore(), storeFaults: map[Fault]int{}, budgets: map[string]int64{}}
 	var err error
 	if f.listen, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	go func() { _ = http.Serve(f.listen, f.store) }() // until it is closed
+	go func() { _ = http.Serve(f.listen, f.store) }() // serves until the listener is closed
 	for _, a := range accounts {
 		f.budgets[a.name] = a.budget
 	}
 	return f, f.configure(false)
 }
 
-// start starts everything and waits until the routers are ready.
+// start starts all components and waits until the routers are ready.
 func (f *fleet) start(ctx context.Context, o Options, dir string) error {
 	for i := range o.Servers {
-		p, err := newPlace(i, o.Seed, f)
+		p, err := newServerSlot(i, o.Seed, f)
 		if err != nil {
 			return err
 		}
-		f.places = append(f.places, p)
+		f.slots = append(f.slots, p)
 	}
 	spawn := newSpawner()
 	for i := range o.Routers {
@@ -98,7 +99,7 @@
 		if err != nil {
 			return err
 		}
-		f.links = append(f.links, link)
+		f.storeLinks = append(f.storeLinks, link)
 		r, err := newRouter(dir, i, link.Addr(), spawn, f.oracle)
 		if err != nil {
 			return err
@@ -106,8 +107,8 @@
 		f.routers = append(f.routers, r)
 	}
 	for _, r := range f.routers {
-		if others := f.routers[0]; r != others {
-			r.settings.Fleet.Seeds = []string{others.settings.Listen.Peers}
+		if seedRouter := f.routers[0]; r != seedRouter {
+			r.settings.Fleet.Seeds = []string{seedRouter.settings.Listen.Peers}
 		}
 		if err := r.writeSettings(); err != nil {
 			return err
@@ -127,13 +128,13 @@
 	return ctx.Err()
 }
 
-// configure puts the next version, which may raise budgets.
+// configure writes the next configuration version, which may raise budgets.
 func (f *fleet) configure(raise bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
 	c := standin.Configuration{Version: f.version, TimeoutMs: routeTimeoutMs, ObjectiveMs: objectiveMs, EventTokens: eventTokens}
-	for _, s := range shapes {
+	for _, s := range requestKinds {
 		c.Routes = append(c.Routes, s.route)
 	}
 	c.Routes = append(c.Routes, markerRoute(f.version), markerRoute(f.version-1))
@@ -146,18 +147,18 @@
 			one.Keys = append(one.Keys, markerKey(f.version), markerKey(f.version-1))
 		}
 		c.Accounts = append(c.Accounts, one)
-		f.oracle.Limit(a.name, one.Budget)
+		f.oracle.SetBudget(a.name, one.Budget)
 	}
-	f.oracle.Configures(f.version)
+	f.oracle.ConfigSent(f.version)
 	if err := f.store.Configure(c); err != nil {
 		return err
 	}
-	f.oracle.Configured(f.version, time.Now())
+	f.oracle.ConfigAcked(f.version, time.Now())
 	return nil
 }
 
-// play applies the steps of a schedule at their times, beside each other.
-func (f *fleet) play(ctx context.Context, steps []Step) {
+// runSchedule applies the steps of a schedule at their times; steps may overlap.
+func (f *fleet) runSchedule(ctx context.Context, steps []Step) {
 	start := time.Now()
 	for _, s := range steps {
 		select {
@@ -165,9 +166,9 @@
 			return
 		case <-time.After(time.Until(start.Add(s.At))):
 		}
-		f.changes.Add(1)
+		f.pendingChanges.Add(1)
 		go func() {
-			defer f.changes.Done()
+			defer f.pendingChanges.Done()
 			if err := f.apply(s); err != nil {
 				f.fail(fmt.Errorf("%s: %w", s.Fault, err))
 			}
@@ -181,70 +182,70 @@
 	f.errs = append(f.errs, err)
 }
 
-// err returns what went wrong with the run itself.
+// err returns the errors of the test harness itself.
 func (f *fleet) err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return errors.Join(f.errs...)
 }
 
-// apply brings about one fault and ends it.
+// apply injects one fault and ends it after its duration.
 func (f *fleet) apply(s Step) error {
 	switch s.Fault {
 	case RouterStopped, RouterPaused, RouterKilled, RouterReloads:
-		f.tally.fault(s.Fault)
-		return f.disturbRouter(s)
+		f.counters.countFault(s.Fault)
+		return f.applyRouterFault(s)
 	case ConfigChanged:
-		f.tally.fault(s.Fault)
+		f.counters.countFault(s.Fault)
 		return f.configure(true)
 	case ServerLeaves, ServerCrashes, ServerRefuses, ServerLimits:
-		return f.disturbServer(s)
+		return f.applyServerFault(s)
 	}
-	f.tally.fault(s.Fault)
-	switch natures[s.Fault].target {
-	case atRouter:
-		f.disturb(StoreLinkOf(s.Target), s.Lasts)
-		disturbLink(f.links[s.Target], s, storeLinkDelay)
-	case atServer:
-		f.disturb(ServerAt(s.Target), s.Lasts)
-		disturbLink(f.places[s.Target].proxy, s, serverLinkDelay)
+	f.counters.countFault(s.Fault)
+	switch faultSpecs[s.Fault].target {
+	case routerTarget:
+		f.recordDisruption(StoreLink(s.Target), s.Duration)
+		applyLinkFault(f.storeLinks[s.Target], s, storeLinkDelay)
+	case serverTarget:
+		f.recordDisruption(ServerAtSlot(s.Target), s.Duration)
+		applyLinkFault(f.slots[s.Target].proxy, s, serverLinkDelay)
 	default:
-		f.disturb(StoreItself, s.Lasts)
-		f.disturbStore(s.Fault, 1)
-		time.Sleep(s.Lasts)
-		f.disturbStore(s.Fault, -1)
+		f.recordDisruption(StoreComponent, s.Duration)
+		f.addStoreFault(s.Fault, 1)
+		time.Sleep(s.Duration)
+		f.addStoreFault(s.Fault, -1)
 	}
 	return nil
 }
 
-// disturb tells the oracle of a disturbance that begins now.
-func (f *fleet) disturb(s Subject, lasts time.Duration) {
+// recordDisruption records a disruption that starts now.
+func (f *fleet) recordDisruption(s Component, duration time.Duration) {
 	now := time.Now()
-	f.oracle.Disturbed(s, now, now.Add(lasts))
+	f.oracle.AddDisruption(s, now, now.Add(duration))
 }
 
-func (f *fleet) disturbRouter(s Step) error {
+func (f *fleet) applyRouterFault(s Step) error {
 	r := f.routers[s.Target]
 	switch s.Fault {
 	case RouterStopped:
-		end := f.oracle.Disturb(StopOf(s.Target), time.Now())
-		if killed := r.stop(s.Lasts); !killed.IsZero() {
-			f.oracle.Disturbed(ProcessOf(s.Target), killed, killed.Add(s.Lasts))
+		end := f.oracle.BeginDisruption(PlannedStop(s.Target), time.Now())
+		if killed := r.stop(s.Duration); !killed.IsZero() {
+			f.oracle.AddDisruption(RouterProcess(s.Target), killed, killed.Add(s.Duration))
 		}
-		time.Sleep(s.Lasts)
-		r.awaitReady(settled)
+		time.Sleep(s.Duration)
+		r.awaitReady(settleTimeout)
 		end(time.Now())
 	case RouterPaused:
-		f.disturb(ProcessOf(s.Target), s.Lasts)
+		f.recordDisruption(RouterProcess(s.Target), s.Duration)
 		r.signal(syscall.SIGSTOP)
-		time.Sleep(s.Lasts)
+		time.Sleep(s.Duration)
 		r.signal(syscall.SIGCONT)
-		f.disturb(ProcessOf(s.Target), 0)
+		f.recordDisruption(RouterProcess(s.Target), 0)
 	case RouterKilled:
-		end := f.oracle.Disturb(ProcessOf(s.Target), time.Now())
-		r.kill(s.Lasts)
-		time.Sleep(s.Lasts)
-		r.awaitReady(settled)
+		end := f.oracle.BeginDisruption(RouterProcess(s.Target), time.Now())
+		r.kill(s.Duration)
+		time.Sleep(s.Duration)
+		r.awaitReady(settleTimeout)
 		end(time.Now())
 	case RouterReloads:
 		return r.reload(50 + float64(s.At%10))
@@ -252,48 +253,49 @@
 	return nil
 }
 
-func (f *fleet) disturbServer(s Step) (err error) {
-	p := f.places[s.Target]
+func (f *fleet) applyServerFault(s Step) (err error) {
+	p := f.slots[s.Target]
 	done := true
 	switch s.Fault {
 	case ServerLeaves:
-		done, err = p.leave(DefaultBounds().Leaving + serveOn)
+		done, err = p.leave(DefaultBounds().Leaving + leaveMargin)
 	case ServerCrashes:
-		done, err = p.crash(s.Lasts)
+		done, err = p.crash(s.Duration)
 	case ServerRefuses:
-		p.refuse(s.Lasts)
+		p.refuseFor(s.Duration)
 	case ServerLimits:
-		done = p.limitFor(s.Lasts)
+		done = p.nameLimitFor(s.Duration)
 	}
 	if done {
-		f.tally.fault(s.Fault)
+		f.counters.countFault(s.Fault)
 	}
 	return err
 }
 
-func disturbLink(p *Proxy, s Step, delay time.Duration) {
+func applyLinkFault(p *Proxy, s Step, delay time.Duration) {
 	switch s.Fault {
 	case StoreLinkDelayed, ServerLinkDelayed:
 		p.Delay(delay)
-		time.Sleep(s.Lasts)
+		time.Sleep(s.Duration)
 		p.Delay(0)
 	case StoreLinkReset, ServerLinkReset:
 		p.Reset()
 	case StoreLinkSilent, ServerLinkSilent:
 		p.Silence()
 	case StoreLinkOneWay, ServerLinkOneWay:
-		p.CutOneWay(direction(s.Lasts.Milliseconds() % 2))
-		time.Sleep(s.Lasts)
-		p.Mend()
+		p.BlockDirection(direction(s.Duration.Milliseconds() % 2))
+		time.Sleep(s.Duration)
+		p.Restore()
 	case StoreLinkDown:
 		p.Down(true)
-		time.Sleep(s.Lasts)
+		time.Sleep(s.Duration)
 		p.Down(false)
 	}
 }
 
-// disturbStore adds or ends one fault of the store beside those that overlap it.
-func (f *fleet) disturbStore(kind Fault, n int) {
+// addStoreFault adds n to the number of active faults of a kind, as faults may overlap, and applies
+// the active kinds to the store.
+func (f *fleet) addStoreFault(kind Fault, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeFaults[kind] += n
@@ -303,17 +305,17 @@
 		faults.Delay = storeDelay
 	}
 	if on(StoreWritesLate) {
-		faults.LateWrites = lateBy
+		faults.LateWrites = lateWriteDelay
 	}
 	f.store.SetFaults(faults)
 }
 
-// audit compares what the store says was issued with what servers handed out.
+// audit compares the tokens issued according to the store with the tokens that servers handed out.
 func (f *fleet) audit() error {
-	handed := f.oracle.Handed()
+	handedOut := f.oracle.HandedOut()
 	value, err := f.store.Value(budget.PageKey(0))
-	if errors.Is(err, store.ErrNotFound) && len(handed) == 0 {
-		return nil // no router has drawn yet
+	if errors.Is(err, store.ErrNotFound) && len(handedOut) == 0 {
+		return nil // no router has drawn tokens yet
 	}
 	if err != nil {
 		return err
@@ -328,32 +330,32 @@
 		if record := page.Budgets[name]; record != nil {
 			issued = record.Issued()
 		}
-		f.oracle.Issued(name, issued, handed[name], time.Now())
-		f.tally.issued(name, issued)
+		f.oracle.CheckIssued(name, issued, handedOut[name], time.Now())
+		f.counters.setIssued(name, issued)
 	}
 	return nil
 }
 
-// stop waits for the last changes and ends the routers in order.
+// stop waits for pending changes and then stops the routers gracefully.
 func (f *fleet) stop() {
-	f.changes.Wait()
-	var all sync.WaitGroup
+	f.pendingChanges.Wait()
+	var stopping sync.WaitGroup
 	for _, r := range f.routers {
-		all.Add(1)
+		stopping.Add(1)
 		go func() {
-			defer all.Done()
+			defer stopping.Done()
 			r.close()
 		}()
 	}
-	all.Wait()
+	stopping.Wait()
 }
 
-// close ends the stand-ins.
+// close closes the proxies, the backend servers and the store's listener.
 func (f *fleet) close() {
-	for _, l := range f.links {
+	for _, l := range f.storeLinks {
 		l.Close()
 	}
-	for _, p := range f.places {
+	for _, p := range f.slots {
 		p.proxy.Close()
 		p.close()
 	}
--- a/lab/soak/oracle.go
+++ b/lab/soak/oracle.go
@@ -12,195 +12,197 @@
 	"github.com/gaplink/gaplink/platform/standin"
 )
 
-// Promise is what gaplink promises.
-type Promise string
+// Guarantee is a property that gaplink guarantees.
+type Guarantee string
 
-// The promises that the oracle checks.
+// The guarantees that the oracle checks.
 const (
-	AtMostOnce   Promise = "a request that may not repeat runs at most once"
-	NotRunIsTrue Promise = "408, 421, 429 and 503 say that the request has not run and never will"
-	Whole        Promise = "an answer that claims to be complete is whole and the request's own"
-	NoOverspend  Promise = "no account gets more than its budget"
-	LeavingIdle  Promise = "a server that leaves gets no new request"
-	ConfigFresh  Promise = "a configuration is in force within the bound"
-	ConfigRises  Promise = "a configuration is never older than one before"
-	NotCut       Promise = "planned work cuts no request"
-	KeepsRunning Promise = "a process ends only when it is told to"
-	PoisonKnown  Promise = "a request that ends servers is held back after the third"
-	OnlyPoison   Promise = "no other request is"
-	LimitKept    Promise = "a server does not get more than the rate limit that it names"
+	AtMostOnce            Guarantee = "a request that may not repeat runs at most once"
+	NotRunHolds           Guarantee = "408, 421, 429 and 503 say that the request has not run and never will"
+	AnswerIntact          Guarantee = "an answer that claims to be complete is whole and the request's own"
+	NoOverspend           Guarantee = "no account gets more than its budget"
+	NoRequestWhileLeaving Guarantee = "a server that leaves gets no new request"
+	ConfigInForce         Guarantee = "a configuration is in force within the bound"
+	ConfigMonotonic       Guarantee = "a configuration is never older than one before"
+	NoPlannedCut          Guarantee = "planned work cuts no request"
+	NoUnexpectedExit      Guarantee = "a process ends only when it is told to"
+	PoisonHeldBack        Guarantee = "a request that ends servers is held back after the third"
+	OnlyPoisonHeldBack    Guarantee = "no other request is"
+	RateLimitKept         Guarantee = "a server does not get more than the rate limit that it names"
 )
 
-// Broken is one broken promise.
-type Broken struct {
-	Promise Promise       `json:"promise"`
-	Request string        `json:"request,omitempty"`
-	Detail  string        `json:"detail"`
-	After   time.Duration `json:"after_ns"`
+// Violation is one violated guarantee.
+type Violation struct {
+	Guarantee Guarantee     `json:"promise"`
+	Request   string        `json:"request,omitempty"`
+	Detail    string        `json:"detail"`
+	After     time.Duration `json:"after_ns"`
 }
 
-// Process is one life of a router's process.
-type Process struct{ Router, Life int }
+// Process identifies one incarnation of a router's process.
+type Process struct{ Router, Incarnation int }
 
-// Request is a caller's request, as it was sent.
+// Request is a caller's request as sent.
 type Request struct {
 	ID      string
 	Process Process
 	Sent    time.Time
-	// Once tells that it may run only once.
+	// Once is set if the request may be executed at most once.
 	Once bool
-	// Events is the number of the last event of its stream, and From that of the
-	// last one that the caller has; 0 events: the answer is plain.
+	// Events is the number of the stream's last event, and From the number of the last event that
+	// the caller already has. 0 events mean a plain answer.
 	Events, From int
-	// Account pays for TokensIn and EventTokens for each event.
+	// Account pays for TokensIn, and for EventTokens per event.
 	Account               string
 	TokensIn, EventTokens int64
 	// Deadline is how long the caller waits.
 	Deadline time.Duration
-	// Marker is the version that brought the request's key or route; the next
-	// version still has it, the one after has not. 0: all versions have them.
+	// Marker is the configuration version that introduced the request's key or route. The next
+	// version still has them, the one after doesn't. 0 means that every version has them.
 	Marker int64
-	// Poison is the body of a request that ends each server which runs it; empty: it does not.
+	// Poison is the body of a poison request, which crashes each server that runs it; empty for all
+	// others.
 	Poison string
 }
 
-// Claim is what an answer claims about its end.
+// Claim is what an answer claims about its completeness.
 type Claim int
 
 // The claims.
 const (
-	// Cut: the connection ended before the answer did.
+	// Cut means that the connection ended before the answer did.
 	Cut Claim = iota
-	// Unframed: the answer ended with its connection, as its head says.
+	// Unframed means that the answer ended with its connection, as its header announced.
 	Unframed
-	// Complete: the length was reached, or the last chunk came.
+	// Complete means that the announced length was reached or the last chunk arrived.
 	Complete
 )
 
-// Answer is what a caller got. A status of 0 is no answer at all.
+// Answer is what a caller received. Status 0 means no answer.
 type Answer struct {
 	At     time.Time
 	Status int
 	Claim  Claim
 	Signed bool
-	// ID is the request's id that the answer names.
+	// ID is the request id that the answer names.
 	ID   string
 	Body string
-	// Left tells that the caller gave up.
-	Left bool
-	// HeldBack tells that the router refused the request as one that ends servers.
+	// Canceled is set if the caller canceled the request.
+	Canceled bool
+	// HeldBack is set if the router held the request back as a poison request.
 	HeldBack bool
 }
 
-// promised are the statuses that say that a request has not run and never will.
-var promised = map[int]bool{
+// notRunStatuses are the statuses which state that a request has not run and never will.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// Bounds are the bounds in time, each with the slack for a busy machine.
+// Bounds are the time bounds of the guarantees, with slack for a busy machine.
 type Bounds struct {
-	// InTouch is how long nothing must have disturbed what a bound applies to.
-	InTouch time.Duration
-	// Leaving and Config run from the store's acknowledgement.
+	// QuietPeriod is how long the components concerned must be undisrupted before a bound applies.
+	QuietPeriod time.Duration
+	// Leaving and Config are measured from the store's acknowledgement.
 	Leaving, Config time.Duration
-	// Rollback is how long a request may still meet the version before.
-	Rollback time.Duration
-	// OfDeadline is the part of its deadline within which a server answers in time.
-	OfDeadline float64
+	// VersionOverlap is how long a request may still meet the previous configuration version.
+	VersionOverlap time.Duration
+	// DeadlineFraction is the fraction of a request's deadline within which an answer counts as in
+	// time.
+	DeadlineFraction float64
 }
 
-// DefaultBounds are the platform's bounds and 1.5 s of slack for a busy machine.
+// DefaultBounds returns the platform's bounds plus 1.5 s of slack for a busy machine.
 func DefaultBounds() Bounds {
 	const slack = 1500 * time.Millisecond
 	return Bounds{
-		InTouch:    3 * time.Second,
-		Leaving:    2*time.Second + slack,
-		Config:     2*time.Second + slack,
-		Rollback:   250 * time.Millisecond,
-		OfDeadline: 0.5,
+		QuietPeriod:      3 * time.Second,
+		Leaving:          2*time.Second + slack,
+		Config:           2*time.Second + slack,
+		VersionOverlap:   250 * time.Millisecond,
+		DeadlineFraction: 0.5,
 	}
 }
 
-// run is one run of a request at a server.
-type run struct {
-	place  int
+// serverRun is one run of a request at a server.
+type serverRun struct {
+	slot   int
 	ending Ending
 	answer standin.Answer
 }
 
-// book is what is known of a request.
-type book struct {
+// requestRecord is the state that the oracle keeps for a request.
+type requestRecord struct {
 	Request
-	runs   []run
-	arrive int // arrivals, also those that did not run
-	answer *Answer
+	runs     []serverRun
+	arrivals int // includes arrivals that did not run
+	answer   *Answer
 }
 
-// Oracle checks the promises while a run goes on. It is safe for concurrent use.
+// Oracle checks the guarantees during a run. It is safe for concurrent use.
 type Oracle struct {
-	mu      sync.Mutex
-	start   time.Time
-	bounds  Bounds
-	dis     Disruptions
-	books   map[string]*book
-	broken  []Broken
-	limits  map[string]int64
-	handed  map[string]int64
-	leaving map[string]time.Time
-	// latest is the version that the operator sent last; acked is when the store
-	// acknowledged each.
-	latest int64
-	acked  map[int64]time.Time
-	sights map[Process][]sight
-	// checked counts, for each promise, the times when it could have been seen to
-	// be broken.
-	checked map[Promise]int
-	poison  map[string]*poisonBook // by body
-	limited map[string]*limited    // by the id of the server
-}
-
-// NewOracle returns an oracle for a run that starts now.
+	mu          sync.Mutex
+	start       time.Time
+	bounds      Bounds
+	disruptions Disruptions
+	requests    map[string]*requestRecord
+	violations  []Violation
+	budgets     map[string]int64
+	handedOut   map[string]int64
+	leaving     map[string]time.Time
+	// latest is the last configuration version sent to the store; acked holds when the store
+	// acknowledged each version.
+	latest    int64
+	acked     map[int64]time.Time
+	sightings map[Process][]sighting
+	// checked counts, for each guarantee, the occasions on which a violation would have been
+	// detected.
+	checked     map[Guarantee]int
+	poison      map[string]*poisonRecord  // by request body
+	rateLimited map[string]*limitedServer // by server id
+}
+
+// NewOracle returns an oracle for a run that starts at start.
 func NewOracle(start time.Time, b Bounds) *Oracle {
 	return &Oracle{
 		start: start, bounds: b,
-		books: map[string]*book{}, limits: map[string]int64{}, handed: map[string]int64{},
-		leaving: map[string]time.Time{}, acked: map[int64]time.Time{}, sights: map[Process][]sight{},
-		checked: map[Promise]int{}, poison: map[string]*poisonBook{},
-		limited: map[string]*limited{},
+		requests: map[string]*requestRecord{}, budgets: map[string]int64{}, handedOut: map[string]int64{},
+		leaving: map[string]time.Time{}, acked: map[int64]time.Time{}, sightings: map[Process][]sighting{},
+		checked: map[Guarantee]int{}, poison: map[string]*poisonRecord{},
+		rateLimited: map[string]*limitedServer{},
 	}
 }
 
-// Broken returns the broken promises so far.
-func (o *Oracle) Broken() []Broken {
+// Violations returns the violations recorded so far.
+func (o *Oracle) Violations() []Violation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]Broken(nil), o.broken...)
+	return append([]Violation(nil), o.violations...)
 }
 
-// Checked returns how often each promise could have been seen to be broken.
-func (o *Oracle) Checked() map[Promise]int {
+// Checked returns how often a violation of each guarantee would have been detected.
+func (o *Oracle) Checked() map[Guarantee]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return maps.Clone(o.checked)
 }
 
-func (o *Oracle) breaks(p Promise, request string, at time.Time, format string, args ...any) {
-	o.broken = append(o.broken, Broken{Promise: p, Request: request, Detail: fmt.Sprintf(format, args...), After: at.Sub(o.start)})
+func (o *Oracle) violate(p Guarantee, request string, at time.Time, format string, args ...any) {
+	o.violations = append(o.violations, Violation{Guarantee: p, Request: request, Detail: fmt.Sprintf(format, args...), After: at.Sub(o.start)})
 }
 
-// Disturbed notes a disturbance that is over or ends at a known time.
-func (o *Oracle) Disturbed(s Subject, from, to time.Time) {
+// AddDisruption records a disruption whose end is known.
+func (o *Oracle) AddDisruption(s Component, from, to time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.dis.Add(s, from)(to)
+	o.disruptions.Add(s, from)(to)
 }
 
-// Disturb notes a disturbance that begins, and returns the function that ends it.
-func (o *Oracle) Disturb(s Subject, from time.Time) (end func(at time.Time)) {
+// BeginDisruption records a disruption and returns the function that sets its end.
+func (o *Oracle) BeginDisruption(s Component, from time.Time) (end func(at time.Time)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	endLocked := o.dis.Add(s, from)
+	endLocked := o.disruptions.Add(s, from)
 	return func(at time.Time) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -208,53 +210,52 @@
 	}
 }
 
-// Ended notes a process that ended without being told to.
+// Ended records a process that exited without being told to.
 func (o *Oracle) Ended(p Process, at time.Time, how string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.breaks(KeepsRunning, "", at, "router %d, life %d: %s", p.Router, p.Life, how)
+	o.violate(NoUnexpectedExit, "", at, "router %d, life %d: %s", p.Router, p.Incarnation, how)
 }
 
-// Sent notes a request before it is sent.
+// Sent records a request before it is sent.
 func (o *Oracle) Sent(r Request) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.books[r.ID] = &book{Request: r}
+	o.requests[r.ID] = &requestRecord{Request: r}
 }
 
-// Arrived notes that a request reached the server with that id, at that place. It
-// returns the request and the number of arrivals before; ok is false if no caller
-// sent it.
-func (o *Oracle) Arrived(id, server string, place int, at time.Time) (r Request, before int, ok bool) {
+// Arrived records that a request reached the server with the given id at the given slot. It returns
+// the request and the number of earlier arrivals; ok is false if no caller sent the request.
+func (o *Oracle) Arrived(id, server string, slot int, at time.Time) (r Request, before int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.books[id]
+	b := o.requests[id]
 	if b == nil {
-		o.breaks(Whole, id, at, "server %s got a request that no caller sent", server)
+		o.violate(AnswerIntact, id, at, "server %s got a request that no caller sent", server)
 		return Request{}, 0, false
 	}
-	o.checkLeaving(b, server, place, at)
-	o.checkLimit(b, server, place, at)
+	o.checkLeaving(b, server, slot, at)
+	o.checkLimit(b, server, slot, at)
 	o.checkPoison(b, at)
-	b.arrive++
-	return b.Request, b.arrive - 1, true
+	b.arrivals++
+	return b.Request, b.arrivals - 1, true
 }
 
-// checkLeaving checks that a server that leaves gets nothing new.
-func (o *Oracle) checkLeaving(b *book, server string, place int, at time.Time) {
-	if !o.anyLeft(at) || !o.inTouch(b.Process.Router, at) {
+// checkLeaving checks that a leaving server receives no new requests.
+func (o *Oracle) checkLeaving(b *requestRecord, server string, slot int, at time.Time) {
+	if !o.anyLeavingOverdue(at) || !o.routerAndStoreUndisrupted(b.Process.Router, at) {
 		return
 	}
-	o.checked[LeavingIdle]++
+	o.checked[NoRequestWhileLeaving]++
 	since, leaves := o.leaving[server]
-	if leaves && at.After(since.Add(o.bounds.Leaving)) && o.calm(at, ServerAt(place)) {
-		o.breaks(LeavingIdle, b.ID, at, "router %d sent it to %s, %s after it was registered as leaving", b.Process.Router, server, at.Sub(since))
+	if leaves && at.After(since.Add(o.bounds.Leaving)) && o.undisrupted(at, ServerAtSlot(slot)) {
+		o.violate(NoRequestWhileLeaving, b.ID, at, "router %d sent it to %s, %s after it was registered as leaving", b.Process.Router, server, at.Sub(since))
 	}
 }
 
-// anyLeft tells whether a server that was registered as leaving must get nothing
-// new by now, and is still there.
-func (o *Oracle) anyLeft(at time.Time) bool {
+// anyLeavingOverdue reports whether some server that is still registered as leaving must no longer
+// receive new requests.
+func (o *Oracle) anyLeavingOverdue(at time.Time) bool {
 	for _, since := range o.leaving {
 		if at.After(since.Add(o.bounds.Leaving)) {
 			return true
@@ -263,119 +264,120 @@
 	return false
 }
 
-// Left notes that a server that was leaving is gone.
+// Left records that a leaving server is gone.
 func (o *Oracle) Left(server string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.leaving, server)
 }
 
-// inTouch tells whether a router and its way to the store were left alone.
-func (o *Oracle) inTouch(router int, at time.Time) bool {
-	return o.calm(at, ProcessOf(router), StopOf(router), StoreLinkOf(router), StoreItself)
+// routerAndStoreUndisrupted reports whether a router's process, the store and the link between them
+// were undisrupted for the quiet period.
+func (o *Oracle) routerAndStoreUndisrupted(router int, at time.Time) bool {
+	return o.undisrupted(at, RouterProcess(router), PlannedStop(router), StoreLink(router), StoreComponent)
 }
 
-// undisturbed tells whether a router's process was left alone. Routers tell each other
-// what they must know at once, so that the store may be away.
-func (o *Oracle) undisturbed(router int, at time.Time) bool {
-	return o.calm(at, ProcessOf(router), StopOf(router))
+// routerUndisrupted reports whether a router's process was undisrupted for the quiet period. The
+// store may be down, as routers propagate urgent changes to each other directly.
+func (o *Oracle) routerUndisrupted(router int, at time.Time) bool {
+	return o.undisrupted(at, RouterProcess(router), PlannedStop(router))
 }
 
-func (o *Oracle) calm(at time.Time, subjects ...Subject) bool {
-	return o.dis.Calm(at.Add(-o.bounds.InTouch), at, subjects...)
+func (o *Oracle) undisrupted(at time.Time, components ...Component) bool {
+	return o.disruptions.Undisrupted(at.Add(-o.bounds.QuietPeriod), at, components...)
 }
 
-// Ran notes a run and the answer that the server gives.
-func (o *Oracle) Ran(id string, place int, e Ending, a standin.Answer, at time.Time) {
+// Ran records a run of a request and the answer that the server sends.
+func (o *Oracle) Ran(id string, slot int, e Ending, a standin.Answer, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.books[id]
-	b.runs = append(b.runs, run{place, e, a})
+	b := o.requests[id]
+	b.runs = append(b.runs, serverRun{slot, e, a})
 	if b.Once {
 		o.checked[AtMostOnce]++
 	}
 	if b.Once && len(b.runs) > 1 {
-		o.breaks(AtMostOnce, id, at, "run %d", len(b.runs))
+		o.violate(AtMostOnce, id, at, "run %d", len(b.runs))
 	}
-	if b.answer != nil && promised[b.answer.Status] {
-		o.breaks(NotRunIsTrue, id, at, "runs after its caller got %d", b.answer.Status)
+	if b.answer != nil && notRunStatuses[b.answer.Status] {
+		o.violate(NotRunHolds, id, at, "runs after its caller got %d", b.answer.Status)
 	}
 	o.charge(b, a, at)
-	o.accepted(b, at)
+	o.checkAccepted(b, at)
 }
 
-// Leaving notes that the store took a server's registration as leaving.
+// Leaving records that the store accepted a server's registration as leaving.
 func (o *Oracle) Leaving(server string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.leaving[server] = at
 }
 
-// Answered notes what a caller got in the end.
+// Answered records the final outcome that a caller saw.
 func (o *Oracle) Answered(id string, a Answer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.books[id]
+	b := o.requests[id]
 	b.answer = &a
 	if a.Status != 0 && a.ID != "" && a.ID != id {
-		o.breaks(Whole, id, a.At, "the answer names %s", a.ID)
+		o.violate(AnswerIntact, id, a.At, "the answer names %s", a.ID)
 	}
 	if a.HeldBack {
 		o.checkHeldBack(b)
 	} else if b.Poison == "" {
-		o.checked[OnlyPoison]++
+		o.checked[OnlyPoisonHeldBack]++
 	}
 	switch {
-	case a.Left:
-	case promised[a.Status]:
-		o.checkPromise(b)
+	case a.Canceled:
+	case notRunStatuses[a.Status]:
+		o.checkNotRun(b)
 	case a.Status == http.StatusUnauthorized || a.Status == http.StatusNotFound:
-		o.refused(b, a.At)
+		o.checkRefused(b, a.At)
 	}
 	if a.Claim == Complete && (a.Signed || a.Status < http.StatusMultipleChoices) {
-		o.checkWhole(b)
+		o.checkIntact(b)
 	}
-	if !a.Left {
+	if !a.Canceled {
 		o.checkCut(b)
 	}
 }
 
-func (o *Oracle) checkPromise(b *book) {
-	o.checked[NotRunIsTrue]++
+func (o *Oracle) checkNotRun(b *requestRecord) {
+	o.checked[NotRunHolds]++
 	if len(b.runs) > 0 {
-		o.breaks(NotRunIsTrue, b.ID, b.answer.At, "answered %d after %d runs, the first %q", b.answer.Status, len(b.runs), b.runs[0].ending)
+		o.violate(NotRunHolds, b.ID, b.answer.At, "answered %d after %d runs, the first %q", b.answer.Status, len(b.runs), b.runs[0].ending)
 	}
 }
 
-// checkWhole checks an answer of a server that claims to be complete.
-func (o *Oracle) checkWhole(b *book) {
+// checkIntact checks a server's answer that claims to be complete.
+func (o *Oracle) checkIntact(b *requestRecord) {
 	a := b.answer
-	o.checked[Whole]++
-	proved := false
+	o.checked[AnswerIntact]++
+	anyComplete := false
 	for _, r := range b.runs {
 		if r.answer.Proof(http.MethodPost) != standin.EndComplete {
 			continue
 		}
-		proved = true
-		if r.answer.StatusCode() == a.Status && r.answer.SentBody() == a.Body && a.Signed && !r.answer.Unsigned && idsRise(a.Body, b.From) {
-			return // one run's own answer; a gap in it is the server's
+		anyComplete = true
+		if r.answer.StatusCode() == a.Status && r.answer.SentBody() == a.Body && a.Signed && !r.answer.Unsigned && idsAscend(a.Body, b.From) {
+			return // the answer of a single run; a gap in its events is the server's fault
 		}
 	}
 	switch {
 	case !a.Signed:
-		o.breaks(Whole, b.ID, a.At, "status %d without a signature", a.Status)
-	case !proved:
-		o.breaks(Whole, b.ID, a.At, "claims to be complete, as no server's answer did: %s", b.endings())
+		o.violate(AnswerIntact, b.ID, a.At, "status %d without a signature", a.Status)
+	case !anyComplete:
+		o.violate(AnswerIntact, b.ID, a.At, "claims to be complete, as no server's answer did: %s", b.describeRuns())
 	case b.Events == 0 || a.Status != http.StatusOK:
-		o.breaks(Whole, b.ID, a.At, "status %d with a body that no server sent with it: %q; %s", a.Status, shorten(a.Body), b.endings())
+		o.violate(AnswerIntact, b.ID, a.At, "status %d with a body that no server sent with it: %q; %s", a.Status, abbreviate(a.Body), b.describeRuns())
 	case a.Body != strings.Join(pieces(b.ID, b.From, b.Events), ""):
-		o.breaks(Whole, b.ID, a.At, "a stream that is not events %d to %d, each once: %q; %s", b.From+1, b.Events, shorten(a.Body), b.endings())
+		o.violate(AnswerIntact, b.ID, a.At, "a stream that is not events %d to %d, each once: %q; %s", b.From+1, b.Events, abbreviate(a.Body), b.describeRuns())
 	}
 }
 
-// idsRise tells whether the ids of all events are larger than the one before, the
-// first than from. An answer without events has none.
-func idsRise(body string, from int) bool {
+// idsAscend reports whether the ids of the events ascend strictly and start above from. It is true
+// for an answer without events.
+func idsAscend(body string, from int) bool {
 	for _, line := range strings.Split(body, "\n") {
 		text, named := strings.CutPrefix(line, "id: ")
 		if !named {
@@ -390,30 +392,30 @@
 	return true
 }
 
-// checkCut checks that a request whose one server answered it whole and in time,
-// with nothing disturbed, was not cut.
-func (o *Oracle) checkCut(b *book) {
-	if len(b.runs) != 1 || !b.runs[0].ending.Sound() {
+// checkCut checks that a request was not cut if it ran on one server only, was answered completely
+// and in time, and no disruption explains a cut.
+func (o *Oracle) checkCut(b *requestRecord) {
+	if len(b.runs) != 1 || !b.runs[0].ending.SimplyComplete() {
 		return
 	}
 	took := b.answer.At.Sub(b.Sent)
-	if took > time.Duration(float64(b.Deadline)*o.bounds.OfDeadline) {
+	if took > time.Duration(float64(b.Deadline)*o.bounds.DeadlineFraction) {
 		return
 	}
-	from := b.Sent.Add(-o.bounds.InTouch)
-	if !o.dis.Calm(from, b.answer.At, ProcessOf(b.Process.Router), ServerAt(b.runs[0].place)) {
+	from := b.Sent.Add(-o.bounds.QuietPeriod)
+	if !o.disruptions.Undisrupted(from, b.answer.At, RouterProcess(b.Process.Router), ServerAtSlot(b.runs[0].slot)) {
 		return
 	}
-	if !o.dis.Calm(b.Sent, b.answer.At, StopOf(b.Process.Router)) {
-		o.checked[NotCut]++
+	if !o.disruptions.Undisrupted(b.Sent, b.answer.At, PlannedStop(b.Process.Router)) {
+		o.checked[NoPlannedCut]++
 	}
 	if b.answer.Claim == Cut {
-		o.breaks(NotCut, b.ID, b.answer.At, "router %d cut it after %s, with status %d and %q", b.Process.Router, took, b.answer.Status, b.runs[0].ending)
+		o.violate(NoPlannedCut, b.ID, b.answer.At, "router %d cut it after %s, with status %d and %q", b.Process.Router, took, b.answer.Status, b.runs[0].ending)
 	}
 }
 
-// endings describes the runs of a request.
-func (b *book) endings() string {
+// describeRuns lists how the runs of a request ended.
+func (b *requestRecord) describeRuns() string {
 	list := make([]string, 0, len(b.runs))
 	for _, r := range b.runs {
 		list = append(list, string(r.ending))
@@ -421,11 +423,11 @@
 	return "its runs ended " + strings.Join(list, "; ")
 }
 
-// shorten keeps the two ends of a long text.
-func shorten(s string) string {
-	const most = 400
-	if len(s) <= most {
+// abbreviate keeps the beginning and the end of a long text.
+func abbreviate(s string) string {
+	const maxLength = 400
+	if len(s) <= maxLength {
 		return s
 	}
-	return s[:most/2] + " … " + s[len(s)-most/2:]
+	return s[:maxLength/2] + " … " + s[len(s)-maxLength/2:]
 }
--- a/lab/soak/oracle_poison.go
+++ b/lab/soak/oracle_poison.go
@@ -4,53 +4,54 @@
 	"time"
 )
 
-// poisonBook is what became of a body that ends servers.
-type poisonBook struct {
-	ends []time.Time
-	late int // arrivals that came too late after the third end
+// poisonRecord is the state that the oracle keeps for the body of a poison request.
+type poisonRecord struct {
+	crashes      []time.Time
+	lateArrivals int // arrivals long enough after the third crash
 }
 
 const (
-	// enoughEnds is how many servers may end before a request must be known, and
-	// triesAllowed how often it may reach servers later, from routers left alone.
-	enoughEnds   = 3
-	triesAllowed = 3
+	// crashThreshold is the number of crashed servers after which a poison request must be held
+	// back, and maxLateArrivals is how often undisrupted routers may still send it to servers after
+	// that.
+	crashThreshold  = 3
+	maxLateArrivals = 3
 )
 
-// EndedUnder notes that a server ended under a request with that body.
-func (o *Oracle) EndedUnder(body string, at time.Time) {
+// CrashedUnder records that a server crashed while it ran a request with the given body.
+func (o *Oracle) CrashedUnder(body string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	p := o.poisoned(body)
-	p.ends = append(p.ends, at)
+	p := o.poisonRecordOf(body)
+	p.crashes = append(p.crashes, at)
 }
 
-func (o *Oracle) poisoned(body string) *poisonBook {
+func (o *Oracle) poisonRecordOf(body string) *poisonRecord {
 	if o.poison[body] == nil {
-		o.poison[body] = &poisonBook{}
+		o.poison[body] = &poisonRecord{}
 	}
 	return o.poison[body]
 }
 
-// checkPoison checks that a request under which servers ended is held back.
-func (o *Oracle) checkPoison(b *book, at time.Time) {
+// checkPoison checks that a request that crashed servers is held back.
+func (o *Oracle) checkPoison(b *requestRecord, at time.Time) {
 	if b.Poison == "" {
 		return
 	}
-	p := o.poisoned(b.Poison)
-	if len(p.ends) < enoughEnds || !at.After(p.ends[enoughEnds-1].Add(o.bounds.InTouch)) || !o.undisturbed(b.Process.Router, at) {
+	p := o.poisonRecordOf(b.Poison)
+	if len(p.crashes) < crashThreshold || !at.After(p.crashes[crashThreshold-1].Add(o.bounds.QuietPeriod)) || !o.routerUndisrupted(b.Process.Router, at) {
 		return
 	}
-	if p.late++; p.late > triesAllowed {
-		o.breaks(PoisonKnown, b.ID, at, "router %d sent it on, %s after the third of %d ends", b.Process.Router, at.Sub(p.ends[enoughEnds-1]), len(p.ends))
+	if p.lateArrivals++; p.lateArrivals > maxLateArrivals {
+		o.violate(PoisonHeldBack, b.ID, at, "router %d sent it on, %s after the third of %d ends", b.Process.Router, at.Sub(p.crashes[crashThreshold-1]), len(p.crashes))
 	}
 }
 
-// checkHeldBack judges a refusal of a request as one that ends servers.
-func (o *Oracle) checkHeldBack(b *book) {
+// checkHeldBack checks that a request refused as poison is one.
+func (o *Oracle) checkHeldBack(b *requestRecord) {
 	if b.Poison == "" {
-		o.breaks(OnlyPoison, b.ID, b.answer.At, "router %d holds it back", b.Process.Router)
+		o.violate(OnlyPoisonHeldBack, b.ID, b.answer.At, "router %d holds it back", b.Process.Router)
 		return
 	}
-	o.checked[PoisonKnown]++
+	o.checked[PoisonHeldBack]++
 }
--- a/lab/soak/oracle_tokens.go
+++ b/lab/soak/oracle_tokens.go
@@ -7,45 +7,45 @@
 	"github.com/gaplink/gaplink/platform/standin"
 )
 
-// charge adds what a server hands out for a run.
-func (o *Oracle) charge(b *book, a standin.Answer, at time.Time) {
+// charge adds the tokens that a server hands out for a run.
+func (o *Oracle) charge(b *requestRecord, a standin.Answer, at time.Time) {
 	if b.EventTokens == 0 {
 		return
 	}
-	tokens := b.EventTokens * eventsIn(a)
+	tokens := b.EventTokens * countEvents(a)
 	if len(b.runs) == 1 {
 		tokens += b.TokensIn
 	}
-	o.handed[b.Account] += tokens
+	o.handedOut[b.Account] += tokens
 	o.checked[NoOverspend]++
-	if limit := o.limits[b.Account]; o.handed[b.Account] > limit {
-		o.breaks(NoOverspend, b.ID, at, "%s got %d tokens of %d", b.Account, o.handed[b.Account], limit)
+	if limit := o.budgets[b.Account]; o.handedOut[b.Account] > limit {
+		o.violate(NoOverspend, b.ID, at, "%s got %d tokens of %d", b.Account, o.handedOut[b.Account], limit)
 	}
 }
 
-// Limit notes an account's budget, before it is configured.
-func (o *Oracle) Limit(account string, tokens int64) {
+// SetBudget records an account's budget before it is configured.
+func (o *Oracle) SetBudget(account string, tokens int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.limits[account] = max(o.limits[account], tokens)
+	o.budgets[account] = max(o.budgets[account], tokens)
 }
 
-// Handed returns the tokens that servers handed out to each account.
-func (o *Oracle) Handed() map[string]int64 {
+// HandedOut returns the tokens that servers handed out to each account.
+func (o *Oracle) HandedOut() map[string]int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return maps.Clone(o.handed)
+	return maps.Clone(o.handedOut)
 }
 
-// Issued checks a record of the store: what was issued covers what servers had
-// handed out before the record was read, and is within the limit.
-func (o *Oracle) Issued(account string, issued, handedBefore int64, at time.Time) {
+// CheckIssued checks an account's record in the store: the issued tokens must cover the tokens that
+// servers had handed out before the record was read, and must not exceed the budget.
+func (o *Oracle) CheckIssued(account string, issued, handedOutBefore int64, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if issued < handedBefore {
-		o.breaks(NoOverspend, "", at, "%s: servers handed out %d tokens, and the store says that %d were issued", account, handedBefore, issued)
+	if issued < handedOutBefore {
+		o.violate(NoOverspend, "", at, "%s: servers handed out %d tokens, and the store says that %d were issued", account, handedOutBefore, issued)
 	}
-	if issued > o.limits[account] {
-		o.breaks(NoOverspend, "", at, "%s: %d tokens issued of %d", account, issued, o.limits[account])
+	if issued > o.budgets[account] {
+		o.violate(NoOverspend, "", at, "%s: %d tokens issued of %d", account, issued, o.budgets[account])
 	}
 }
--- a/lab/soak/poison.go
+++ b/lab/soak/poison.go
@@ -10,74 +10,74 @@
 	"github.com/gaplink/gaplink/platform/standin"
 )
 
-// Episode is a time in which one request ends each server that begins to run it, and
-// its caller sends it again and again, to any router.
-type Episode struct {
-	At, Lasts time.Duration
-	shape     shape
-	// body is what all its tries have in common.
+// PoisonEpisode is a period in which a caller repeatedly sends a poison request, which crashes each
+// server that starts to run it, to random routers.
+type PoisonEpisode struct {
+	At, Duration time.Duration
+	kind         requestKind
+	// body is the body that all attempts share.
 	body string
 }
 
 const (
-	// episodeEvery is the mean time between the starts of two episodes, and the longest
-	// lasts episodeMost.
-	episodeEvery = 15 * time.Second
-	episodeLeast = 6 * time.Second
-	episodeMost  = 14 * time.Second
-	// poisonEvery is the time between two tries.
-	poisonEvery = 300 * time.Millisecond
-	// fuse is how long a server still runs that has begun with the request, and
-	// backAfter how long its address is dead then.
-	fuse      = 30 * time.Millisecond
-	backAfter = time.Second
+	// meanEpisodeInterval is the mean time between the starts of two episodes; minEpisode and
+	// maxEpisode bound the duration of one.
+	meanEpisodeInterval = 15 * time.Second
+	minEpisode          = 6 * time.Second
+	maxEpisode          = 14 * time.Second
+	// poisonInterval is the time between two attempts.
+	poisonInterval = 300 * time.Millisecond
+	// crashDelay is the time from the start of a poison request to the crash of its server, and
+	// restartDelay is how long the server's address is down after the crash.
+	crashDelay   = 30 * time.Millisecond
+	restartDelay = time.Second
 )
 
-// Episodes draws those of a run.
-func Episodes(seed uint64, length time.Duration) []Episode {
+// PoisonEpisodes draws the episodes of a run.
+func PoisonEpisodes(seed uint64, length time.Duration) []PoisonEpisode {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	var list []Episode
-	for at := calmEnds; at < length-calmEnds; at += time.Duration(rng.ExpFloat64() * float64(episodeEvery)) {
-		list = append(list, Episode{
-			At:    at,
-			Lasts: episodeLeast + time.Duration(rng.Int64N(int64(episodeMost-episodeLeast))),
-			shape: shapes[rng.IntN(len(shapes))],
-			body:  fmt.Sprintf("poison %d of %d", len(list), seed),
+	var list []PoisonEpisode
+	for at := quietMargin; at < length-quietMargin; at += time.Duration(rng.ExpFloat64() * float64(meanEpisodeInterval)) {
+		list = append(list, PoisonEpisode{
+			At:       at,
+			Duration: minEpisode + time.Duration(rng.Int64N(int64(maxEpisode-minEpisode))),
+			kind:     requestKinds[rng.IntN(len(requestKinds))],
+			body:     fmt.Sprintf("poison %d of %d", len(list), seed),
 		})
 	}
 	return list
 }
 
-// poisoner is the caller of an episode.
-type poisoner struct {
+// poisonCaller is the caller of an episode.
+type poisonCaller struct {
 	caller
-	episode Episode
+	episode PoisonEpisode
 }
 
-// playEpisodes sends the requests of all episodes at their times.
-func (f *fleet) playEpisodes(ctx context.Context, seed uint64, list []Episode) {
+// runEpisodes sends the requests of all episodes at their times.
+func (f *fleet) runEpisodes(ctx context.Context, seed uint64, list []PoisonEpisode) {
 	start := time.Now()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i, e := range list {
-		p := &poisoner{*newCaller(callers+i, seed, f.routers, f.oracle, f.tally), e}
-		all.Add(1)
+		p := &poisonCaller{*newCaller(callerCount+i, seed, f.routers, f.oracle, f.counters), e}
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			p.run(ctx, start)
 		}()
 	}
-	all.Wait()
+	running.Wait()
 }
 
-// run sends one try after the other, without waiting for answers.
-func (p *poisoner) run(ctx context.Context, start time.Time) {
+// run sends attempts at a fixed interval without waiting for answers.
+func (p *poisonCaller) run(ctx context.Context, start time.Time) {
 	defer p.client.CloseIdleConnections()
-	var all sync.WaitGroup
-	defer all.Wait()
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	begin := start.Add(p.episode.At)
 	for n := 0; ; n++ {
-		at := begin.Add(time.Duration(n) * poisonEvery)
-		if at.Sub(begin) > p.episode.Lasts {
+		at := begin.Add(time.Duration(n) * poisonInterval)
+		if at.Sub(begin) > p.episode.Duration {
 			return
 		}
 		select {
@@ -86,39 +86,39 @@
 		case <-time.After(time.Until(at)):
 		}
 		t := p.draw(n)
-		all.Add(1)
+		pending.Add(1)
 		go func() {
-			defer all.Done()
+			defer pending.Done()
 			p.send(t)
 		}()
 	}
 }
 
-func (p *poisoner) draw(n int) try {
-	s := p.episode.shape
+func (p *poisonCaller) draw(n int) plannedRequest {
+	s := p.episode.kind
 	account := accounts[0]
 	id := fmt.Sprintf("%s, %d", p.episode.body, n)
-	t := try{router: p.routers[p.rng.IntN(len(p.routers))]}
+	t := plannedRequest{router: p.routers[p.rng.IntN(len(p.routers))]}
 	t.call = standin.Call{Path: "/" + s.route.Name + "/x", ID: id, Key: account.key(), Body: p.episode.body, Deadline: deadline}
-	t.request = Request{ID: id, Once: s.once(), Account: account.name, Deadline: deadline, Poison: p.episode.body}
+	t.request = Request{ID: id, Once: s.runsOnce(), Account: account.name, Deadline: deadline, Poison: p.episode.body}
 	if s.stream {
-		t.request.Events, t.request.TokensIn, t.request.EventTokens = mostEvents, prompt, eventTokens
-		t.call.TokensIn, t.call.MaxTokensOut = prompt, mostEvents*eventTokens
+		t.request.Events, t.request.TokensIn, t.request.EventTokens = maxEvents, promptTokens, eventTokens
+		t.call.TokensIn, t.call.MaxTokensOut = promptTokens, maxEvents*eventTokens
 	}
 	return t
 }
 
-// endUnder ends the server with that id, which has begun to run a poison request.
-func (p *place) endUnder(id, body string) {
-	time.Sleep(fuse)
+// crashUnder crashes the server with the given id, which has started to run a poison request.
+func (p *serverSlot) crashUnder(id, body string) {
+	time.Sleep(crashDelay)
 	p.mu.Lock()
 	same := p.id == id
 	p.mu.Unlock()
 	if !same {
 		return
 	}
-	ended := func() { p.oracle.EndedUnder(body, time.Now()) }
-	if _, err := p.crashAnd(ended, backAfter); err != nil {
+	ended := func() { p.oracle.CrashedUnder(body, time.Now()) }
+	if _, err := p.crashWith(ended, restartDelay); err != nil {
 		p.fail(err)
 	}
 }
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// grace is a planned stop's time, and notice its first part, in which a router
-	// still takes requests.
-	grace  = 4 * time.Second
-	notice = 500 * time.Millisecond
-	// gatewayProgram lies beside the lab's own.
+	// stopGrace is the time allowed for a planned stop, and stopNotice the first part of it, in
+	// which a router still accepts requests.
+	stopGrace  = 4 * time.Second
+	stopNotice = 500 * time.Millisecond
+	// gatewayProgram is in the same directory as the lab's executable.
 	gatewayProgram = "gaplink-gateway"
 )
 
-// router is one router: a process that is started anew whenever it has ended.
+// router is a router whose process is restarted whenever it exits as requested.
 type router struct {
 	number   int
 	settings settings.Gateway
@@ -36,21 +36,22 @@
 	spawn    *spawner
 	oracle   *Oracle
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	life int
-	// started is when the present process was.
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	incarnation int
+	// started is the start time of the current process.
 	started time.Time
-	// told tells that the present process was told to end, and away is how long
-	// the router stays away then.
-	told   bool
-	away   time.Duration
-	closed bool
-	gone   chan struct{}
+	// stopRequested is set if the current process was told to exit, and downtime is the time until
+	// the next process starts.
+	stopRequested bool
+	downtime      time.Duration
+	closed        bool
+	exited        chan struct{}
 }
 
-// fewDescriptors is the limit of every second router, so that its bounds on connections are met.
-const fewDescriptors = 400
+// lowDescriptorLimit is the descriptor limit of every second router, so that its connection limits
+// are reached.
+const lowDescriptorLimit = 400
 
 func newRouter(dir string, number int, storeAddr string, spawn *spawner, o *Oracle) (*router, error) {
 	s := settings.DefaultGateway()
@@ -63,12 +64,12 @@
 	}
 	s.Store.Address = storeAddr
 	if number%2 == 1 {
-		s.Files.Limit = fewDescriptors
+		s.Files.Limit = lowDescriptorLimit
 	}
-	s.Stop = settings.GatewayStop{Grace: settings.Duration(grace), Notice: settings.Duration(notice)}
+	s.Stop = settings.GatewayStop{Grace: settings.Duration(stopGrace), Notice: settings.Duration(stopNotice)}
 	r := &router{
 		number: number, settings: s, path: filepath.Join(dir, s.Instance.ID+".toml"),
-		spawn: spawn, oracle: o, gone: make(chan struct{}),
+		spawn: spawn, oracle: o, exited: make(chan struct{}),
 	}
 	return r, r.writeSettings()
 }
@@ -78,11 +79,11 @@
 	if err != nil {
 		return err
 	}
-	return replace(r.path, text)
+	return replaceFile(r.path, text)
 }
 
-// replace writes a file that a process may read meanwhile: it reads the old text or the new one.
-func replace(path string, text []byte) error {
+// replaceFile writes a file atomically: a concurrent reader sees the old text or the new one.
+func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, text, 0o644); err != nil {
 		return err
@@ -92,23 +93,23 @@
 
 // run keeps a process running until the router is closed.
 func (r *router) run(ctx context.Context) {
-	defer close(r.gone)
+	defer close(r.exited)
 	for !r.isClosed() && ctx.Err() == nil {
 		cmd, err := r.start(ctx)
 		if err != nil {
 			r.oracle.Ended(r.process(), time.Now(), err.Error())
 			return
 		}
-		_ = cmd.Wait() // how it ended is in the state
+		_ = cmd.Wait() // the exit status is in ProcessState
 		r.mu.Lock()
-		told, away := r.told, r.away
+		stopRequested, downtime := r.stopRequested, r.downtime
 		r.cmd = nil
 		r.mu.Unlock()
-		if !told && ctx.Err() == nil {
+		if !stopRequested && ctx.Err() == nil {
 			r.oracle.Ended(r.process(), time.Now(), cmd.ProcessState.String())
 			return
 		}
-		time.Sleep(away)
+		time.Sleep(downtime)
 	}
 }
 
@@ -118,7 +119,7 @@
 	return r.closed
 }
 
-// start starts the next process; its log goes to the end of a file.
+// start starts the next process and appends its log to a file.
 func (r *router) start(ctx context.Context) (*exec.Cmd, error) {
 	log, err := os.OpenFile(r.path+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -136,8 +137,8 @@
 	if err := r.spawn.start(cmd); err != nil {
 		return nil, err
 	}
-	r.cmd, r.told = cmd, r.closed
-	r.life++
+	r.cmd, r.stopRequested = cmd, r.closed
+	r.incarnation++
 	r.started = time.Now()
 	if r.closed {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -145,40 +146,40 @@
 	return cmd, nil
 }
 
-// process identifies the present life.
+// process returns the current incarnation.
 func (r *router) process() Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Process{r.number, r.life}
+	return Process{r.number, r.incarnation}
 }
 
-// signal sends a signal to the present process, if there is one.
+// signal sends a signal to the current process, if any.
 func (r *router) signal(s syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cmd != nil {
-		_ = r.cmd.Process.Signal(s) // it may have ended just now
+		_ = r.cmd.Process.Signal(s) // the process may have just exited
 	}
 }
 
-// kill ends the present process at once; the next comes after the time away.
-func (r *router) kill(away time.Duration) {
+// kill kills the current process; the next one starts after the downtime.
+func (r *router) kill(downtime time.Duration) {
 	r.mu.Lock()
-	r.told, r.away = true, away
+	r.stopRequested, r.downtime = true, downtime
 	r.mu.Unlock()
 	r.signal(syscall.SIGKILL)
 }
 
-// stop asks the present process to end, and kills it after its grace. It returns
-// when it was killed, or zero.
-func (r *router) stop(away time.Duration) (killed time.Time) {
+// stop asks the current process to exit and kills it after stopGrace. It returns the time of the
+// kill, or the zero time if none was needed.
+func (r *router) stop(downtime time.Duration) (killed time.Time) {
 	r.mu.Lock()
-	r.told, r.away = true, away
-	life := r.life
+	r.stopRequested, r.downtime = true, downtime
+	incarnation := r.incarnation
 	r.mu.Unlock()
 	r.signal(syscall.SIGTERM)
-	for end := time.Now().Add(grace); time.Now().Before(end); time.Sleep(pollEvery) {
-		if !r.lives(life) {
+	for end := time.Now().Add(stopGrace); time.Now().Before(end); time.Sleep(pollInterval) {
+		if !r.isRunning(incarnation) {
 			return time.Time{}
 		}
 	}
@@ -187,35 +188,35 @@
 	return killed
 }
 
-// pollEvery is how often something awaited is looked at.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is the time between two checks of an awaited condition.
+const pollInterval = 20 * time.Millisecond
 
-func (r *router) lives(life int) bool {
+func (r *router) isRunning(incarnation int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cmd != nil && r.life == life
+	return r.cmd != nil && r.incarnation == incarnation
 }
 
-// bootTime is how long after its start a process is not told of changed settings: a
-// SIGHUP that comes before the program runs ends it, and it reads the file at its
-// start and every few seconds anyway.
-const bootTime = 200 * time.Millisecond
+// startupTime is how long after its start a process gets no SIGHUP for changed settings. A SIGHUP
+// that arrives before the program handles it ends the process, and the process reads the file at
+// its start and every few seconds anyway.
+const startupTime = 200 * time.Millisecond
 
-// reload changes the settings and tells the process.
+// reload changes the settings and signals the process to read them.
 func (r *router) reload(slack float64) error {
 	r.mu.Lock()
 	r.settings.Retries.Slack = slack
 	err := r.writeSettings()
-	booted := time.Since(r.started) > bootTime
+	started := time.Since(r.started) > startupTime
 	r.mu.Unlock()
-	if booted {
+	if started {
 		r.signal(syscall.SIGHUP)
 	}
 	return err
 }
 
-// ready asks as the platform's balancer does.
-func (r *router) ready() bool {
+// isReady sends the same readiness check as the platform's load balancer.
+func (r *router) isReady() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + r.settings.Listen.Ready + platform.ReadyPath)
 	if err != nil {
@@ -225,9 +226,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// awaitReady waits until the router is ready, for some time at most.
+// awaitReady waits until the router is ready and reports whether that happened in time.
 func (r *router) awaitReady(within time.Duration) bool {
-	for end := time.Now().Add(within); !r.ready(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(within); !r.isReady(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -235,18 +236,19 @@
 	return true
 }
 
-// close ends the router in order and waits until it is gone.
+// close stops the router gracefully and waits until its process has exited.
 func (r *router) close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 	r.signal(syscall.SIGCONT)
 	r.stop(0)
-	<-r.gone
+	<-r.exited
 }
 
-// spawner starts processes that the kernel ends with this one, also if it is
-// killed: they are tied to the thread that starts them, which lives as long.
+// spawner starts processes that the kernel kills when this process ends, even by a kill. Pdeathsig
+// ties a child to the thread that starts it, so one locked thread starts all of them and lives as
+// long as this process.
 type spawner struct{ jobs chan func() }
 
 func newSpawner() *spawner {
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// direction is the way of bytes through a proxy.
+// direction is the direction of bytes through a proxy.
 type direction int
 
 const (
-	forth direction = iota // from who dialled
-	back
+	clientToServer direction = iota // from the client that dialed
+	serverToClient
 )
 
-// Proxy passes connections on to an address and disturbs them as it is told.
+// Proxy forwards connections to an address and injects faults into them.
 type Proxy struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	target string
-	delay  time.Duration
-	down   bool
-	oneWay [2]bool
-	// mended is closed when the present cut ends.
-	mended chan struct{}
-	pipes  map[*pipe]bool
+	mu      sync.Mutex
+	target  string
+	delay   time.Duration
+	down    bool
+	blocked [2]bool
+	// restored is closed when the current block of a direction ends.
+	restored chan struct{}
+	conns    map[*proxiedConn]bool
 }
 
-// pipe is one connection through a proxy.
-type pipe struct {
+// proxiedConn is one connection through a proxy.
+type proxiedConn struct {
 	proxy *Proxy
-	ends  [2]*net.TCPConn // who dialled, and who was dialled
-	// silent tells that it passes nothing any more, and says so to nobody.
+	ends  [2]*net.TCPConn // client, server
+	// silent is set if the connection forwards nothing any more and signals that to neither end.
 	silent bool
 }
 
-// NewProxy starts a proxy on loopback.
+// NewProxy starts a proxy to target on a loopback address.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: l, target: target, pipes: map[*pipe]bool{}, mended: make(chan struct{})}
+	p := &Proxy{listener: l, target: target, conns: map[*proxiedConn]bool{}, restored: make(chan struct{})}
 	go p.accept()
 	return p, nil
 }
@@ -59,7 +59,7 @@
 	p.target = target
 }
 
-// Delay delays each piece by d, until it is called with 0.
+// Delay delays each piece of data by d until it is called with 0.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,21 +70,21 @@
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for one := range p.pipes {
-		one.reset()
+	for pc := range p.conns {
+		pc.reset()
 	}
 }
 
-// Silence makes all open connections pass nothing for good. New ones work.
+// Silence makes all open connections drop all data for good. New connections work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for one := range p.pipes {
-		one.silent = true
+	for pc := range p.conns {
+		pc.silent = true
 	}
 }
 
-// Down resets all connections, also new ones, until it is called with false.
+// Down resets all connections, including new ones, until it is called with false.
 func (p *Proxy) Down(down bool) {
 	p.mu.Lock()
 	p.down = down
@@ -94,109 +94,109 @@
 	}
 }
 
-// CutOneWay holds back the bytes of one way; Mend ends that. Connections that
-// missed bytes are reset then.
-func (p *Proxy) CutOneWay(d direction) {
+// BlockDirection withholds the bytes of one direction until Restore is called. Connections that
+// lost bytes are then reset.
+func (p *Proxy) BlockDirection(d direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.oneWay[d] = true
+	p.blocked[d] = true
 }
 
-// Mend ends the cuts of both ways.
-func (p *Proxy) Mend() {
+// Restore ends the blocks of both directions.
+func (p *Proxy) Restore() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.oneWay = [2]bool{}
-	close(p.mended)
-	p.mended = make(chan struct{})
+	p.blocked = [2]bool{}
+	close(p.restored)
+	p.restored = make(chan struct{})
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Down(true)
-	p.Mend()
+	p.Restore()
 }
 
 func (p *Proxy) accept() {
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
-		go p.join(c.(*net.TCPConn))
+		go p.forward(c.(*net.TCPConn))
 	}
 }
 
-func (p *Proxy) join(from *net.TCPConn) {
-	one := &pipe{proxy: p, ends: [2]*net.TCPConn{from, nil}}
+func (p *Proxy) forward(client *net.TCPConn) {
+	pc := &proxiedConn{proxy: p, ends: [2]*net.TCPConn{client, nil}}
 	p.mu.Lock()
 	target, down := p.target, p.down
 	p.mu.Unlock()
 	if down {
-		one.reset()
+		pc.reset()
 		return
 	}
-	to, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil {
-		one.reset()
+		pc.reset()
 		return
 	}
-	one.ends[back] = to.(*net.TCPConn)
+	pc.ends[serverToClient] = server.(*net.TCPConn)
 	p.mu.Lock()
-	p.pipes[one] = true
+	p.conns[pc] = true
 	down = p.down
 	p.mu.Unlock()
 	if down {
-		one.reset()
+		pc.reset()
 	}
-	one.run()
+	pc.run()
 	p.mu.Lock()
-	delete(p.pipes, one)
+	delete(p.conns, pc)
 	p.mu.Unlock()
 }
 
-// run passes bytes both ways until both have ended.
-func (one *pipe) run() {
+// run forwards bytes in both directions until both have ended.
+func (pc *proxiedConn) run() {
 	var both sync.WaitGroup
 	both.Add(2)
-	for _, d := range []direction{forth, back} {
+	for _, d := range []direction{clientToServer, serverToClient} {
 		go func() {
 			defer both.Done()
-			one.copy(d)
+			pc.copy(d)
 		}()
 	}
 	both.Wait()
-	for _, c := range one.ends {
+	for _, c := range pc.ends {
 		_ = c.Close()
 	}
 }
 
 const proxyBuffer = 16 << 10
 
-// copy passes the bytes of one way on. An orderly end is passed on as one, and any
-// other as a reset.
-func (one *pipe) copy(d direction) {
-	from, to := one.ends[d], one.ends[1-d]
+// copy forwards the bytes of one direction. It forwards a clean close as a close, and any other end
+// as a reset.
+func (pc *proxiedConn) copy(d direction) {
+	from, to := pc.ends[d], pc.ends[1-d]
 	buf := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buf)
-		if one.holdsBack(d) {
-			one.reset()
+		if pc.applyDelays(d) {
+			pc.reset()
 			return
 		}
-		switch silent := one.isSilent(); {
-		case silent && err != nil && d == back:
-			return // who dialled must not see it
+		switch silent := pc.isSilent(); {
+		case silent && err != nil && d == serverToClient:
+			return // the client must not notice that the server closed
 		case silent && err != nil:
-			one.reset()
+			pc.reset()
 			return
 		case silent:
 			continue
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
-				one.reset()
+				pc.reset()
 				return
 			}
 		}
@@ -205,37 +205,37 @@
 			_ = to.CloseWrite()
 			return
 		case err != nil:
-			one.reset()
+			pc.reset()
 			return
 		}
 	}
 }
 
-// holdsBack waits as the proxy's faults demand, and tells whether bytes were held
-// back for good.
-func (one *pipe) holdsBack(d direction) bool {
-	p := one.proxy
+// applyDelays waits for the proxy's delay and the end of a block, and reports whether bytes were
+// withheld and are lost.
+func (pc *proxiedConn) applyDelays(d direction) bool {
+	p := pc.proxy
 	p.mu.Lock()
-	delay, cut, mended := p.delay, p.oneWay[d], p.mended
+	delay, blocked, restored := p.delay, p.blocked[d], p.restored
 	p.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	if cut {
-		<-mended
+	if blocked {
+		<-restored
 	}
-	return cut
+	return blocked
 }
 
-func (one *pipe) isSilent() bool {
-	one.proxy.mu.Lock()
-	defer one.proxy.mu.Unlock()
-	return one.silent
+func (pc *proxiedConn) isSilent() bool {
+	pc.proxy.mu.Lock()
+	defer pc.proxy.mu.Unlock()
+	return pc.silent
 }
 
-// reset ends both connections without an orderly close.
-func (one *pipe) reset() {
-	for _, c := range one.ends {
+// reset resets the connections to both ends.
+func (pc *proxiedConn) reset() {
+	for _, c := range pc.ends {
 		if c != nil {
 			_ = c.SetLinger(0)
 			_ = c.Close()
--- a/lab/soak/proxy_test.go
+++ b/lab/soak/proxy_test.go
@@ -12,8 +12,8 @@
 	"github.com/gaplink/gaplink/lab/tcptest"
 )
 
-// echo starts a server that sends back what it gets.
-func echo(t *testing.T) string {
+// startEcho starts a server that echoes all data.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	return tcptest.Listen(t, func(c net.Conn, _ int) {
 		_, _ = io.Copy(c, c)
@@ -21,9 +21,9 @@
 	})
 }
 
-func proxied(t *testing.T) (*Proxy, func() net.Conn) {
+func startProxy(t *testing.T) (*Proxy, func() net.Conn) {
 	t.Helper()
-	p, err := NewProxy(echo(t))
+	p, err := NewProxy(startEcho(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,99 +38,99 @@
 	}
 }
 
-const short = 200 * time.Millisecond
+const echoTimeout = 200 * time.Millisecond
 
-// ask sends a byte and returns how its echo fails to come, if it does.
-func ask(c net.Conn) error {
+// roundTrip sends a byte and returns the error of sending it or of reading its echo.
+func roundTrip(c net.Conn) error {
 	if _, err := c.Write([]byte{1}); err != nil {
 		return err
 	}
-	_ = c.SetReadDeadline(time.Now().Add(short))
+	_ = c.SetReadDeadline(time.Now().Add(echoTimeout))
 	_, err := c.Read(make([]byte, 1))
 	return err
 }
 
-func TestProxyPassesOn(t *testing.T) {
-	_, dial := proxied(t)
+func TestProxyForwards(t *testing.T) {
+	_, dial := startProxy(t)
 	c := dial()
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.(*net.TCPConn).CloseWrite()
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("an orderly end arrives as %v", err)
+		t.Errorf("read after a clean close: got %v, want EOF", err)
 	}
 }
 
 func TestProxySilencesOpenConnectionsOnly(t *testing.T) {
-	p, dial := proxied(t)
+	p, dial := startProxy(t)
 	old := dial()
-	if err := ask(old); err != nil {
+	if err := roundTrip(old); err != nil {
 		t.Fatal(err)
 	}
 	p.Silence()
-	if err := ask(old); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the old connection: %v", err)
+	if err := roundTrip(old); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("old connection: got %v, want a timeout", err)
 	}
-	if err := ask(dial()); err != nil {
-		t.Errorf("a new connection: %v", err)
+	if err := roundTrip(dial()); err != nil {
+		t.Errorf("new connection: %v", err)
 	}
 }
 
 func TestProxyResets(t *testing.T) {
-	p, dial := proxied(t)
+	p, dial := startProxy(t)
 	c := dial()
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	p.Reset()
-	if err := ask(c); err == nil || err == io.EOF || errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := roundTrip(c); err == nil || err == io.EOF || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after a reset: %v", err)
 	}
 }
 
-func TestProxyCutsEachWay(t *testing.T) {
-	for _, d := range []direction{forth, back} {
-		p, dial := proxied(t)
+func TestProxyBlocksEachDirection(t *testing.T) {
+	for _, d := range []direction{clientToServer, serverToClient} {
+		p, dial := startProxy(t)
 		c := dial()
-		if err := ask(c); err != nil {
+		if err := roundTrip(c); err != nil {
 			t.Fatal(err)
 		}
-		p.CutOneWay(d)
-		if err := ask(c); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("way %d cut: %v", d, err)
+		p.BlockDirection(d)
+		if err := roundTrip(c); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("direction %d blocked: got %v, want a timeout", d, err)
 		}
-		p.Mend()
-		if err := ask(c); err == nil {
-			t.Errorf("way %d mended: the connection lost bytes and goes on", d)
+		p.Restore()
+		if err := roundTrip(c); err == nil {
+			t.Errorf("direction %d restored: the connection lost bytes but was not reset", d)
 		}
-		if err := ask(dial()); err != nil {
-			t.Errorf("way %d mended, a new connection: %v", d, err)
+		if err := roundTrip(dial()); err != nil {
+			t.Errorf("direction %d restored, new connection: %v", d, err)
 		}
 	}
 }
 
 func TestProxyIsDown(t *testing.T) {
-	p, dial := proxied(t)
+	p, dial := startProxy(t)
 	c := dial()
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	p.Down(true)
-	if ask(c) == nil {
-		t.Error("an open connection passes on while it is down")
+	if roundTrip(c) == nil {
+		t.Error("an open connection forwards data while the proxy is down")
 	}
-	// The reset may come before the dial is through.
+	// The reset may arrive before the dial returns.
 	if fresh, err := net.Dial("tcp", p.Addr()); err == nil {
 		defer func() { _ = fresh.Close() }()
-		if ask(fresh) == nil {
-			t.Error("a new connection passes on while it is down")
+		if roundTrip(fresh) == nil {
+			t.Error("a new connection forwards data while the proxy is down")
 		}
 	} else if !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
 	p.Down(false)
-	if err := ask(dial()); err != nil {
+	if err := roundTrip(dial()); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -1,10 +1,9 @@
-// Package soak runs routers as real processes under random faults and checks
-// what gaplink promises while they run, by what callers and backend servers see.
+// Package soak runs routers as real processes under random faults and meanwhile checks gaplink's
+// guarantees from what callers and backend servers observe.
 //
-// A run is drawn from a seed: the schedule of faults, the requests of the callers
-// and the way in which each answer of a server ends. Only the interleaving in time
-// differs between two runs of a seed. The schedule, the endings and the oracle are
-// pure; processes, proxies and callers are not.
+// A seed determines the schedule of faults, the requests of the callers and how each server answer
+// ends. Two runs of a seed differ only in their interleaving in time. The schedule, the endings and
+// the oracle are deterministic and do no I/O; processes, proxies and callers do.
 package soak
 
 import (
@@ -13,11 +12,11 @@
 	"time"
 )
 
-// Fault is a kind of fault or of planned change.
+// Fault is a kind of fault or planned change.
 type Fault string
 
-// The faults. Those of links concern the connections between one router and the
-// store, or between all routers and one backend server.
+// The faults. A store link fault affects the connections between one router and the store; a server
+// link fault affects those between all routers and one backend server.
 const (
 	StoreLinkDelayed  Fault = "store link delayed"
 	StoreLinkReset    Fault = "store link reset"
@@ -45,75 +44,77 @@
 	ServerLimits      Fault = "server names a rate limit"
 )
 
-// target is what a fault strikes.
-type target int
+// targetKind is the kind of component that a fault affects.
+type targetKind int
 
 const (
-	atStore target = iota
-	atRouter
-	atServer
+	storeTarget targetKind = iota
+	routerTarget
+	serverTarget
 )
 
-// nature is where a kind of fault strikes, and how long it lasts.
-type nature struct {
-	target   target
+// faultSpec is what a kind of fault affects and the range of its duration.
+type faultSpec struct {
+	target   targetKind
 	min, max time.Duration
 }
 
-var natures = map[Fault]nature{
-	StoreLinkDelayed:  {atRouter, 500 * time.Millisecond, 3 * time.Second},
-	StoreLinkReset:    {atRouter, 0, 0},
-	StoreLinkOneWay:   {atRouter, 300 * time.Millisecond, 3 * time.Second},
-	StoreLinkSilent:   {atRouter, 0, 0},
-	StoreLinkDown:     {atRouter, 300 * time.Millisecond, 4 * time.Second},
-	ServerLinkDelayed: {atServer, 300 * time.Millisecond, 2 * time.Second},
-	ServerLinkReset:   {atServer, 0, 0},
-	ServerLinkOneWay:  {atServer, 200 * time.Millisecond, 2 * time.Second},
-	ServerLinkSilent:  {atServer, 0, 0},
-	StoreSlow:         {atStore, 500 * time.Millisecond, 3 * time.Second},
-	StoreDown:         {atStore, 300 * time.Millisecond, 4 * time.Second},
-	StoreLosesAnswers: {atStore, 300 * time.Millisecond, 2 * time.Second},
-	StoreWritesLate:   {atStore, 300 * time.Millisecond, 2 * time.Second},
-	StoreForgets:      {atStore, 100 * time.Millisecond, time.Second},
-	StoreDeaf:         {atStore, 300 * time.Millisecond, 3 * time.Second},
-	RouterStopped:     {atRouter, 0, time.Second},
-	RouterPaused:      {atRouter, 100 * time.Millisecond, 3 * time.Second},
-	RouterKilled:      {atRouter, 0, time.Second},
-	RouterReloads:     {atRouter, 0, 0},
-	ConfigChanged:     {atStore, 0, 0},
-	ServerLeaves:      {atServer, 0, 0},
-	ServerCrashes:     {atServer, 100 * time.Millisecond, 2 * time.Second},
-	ServerRefuses:     {atServer, 200 * time.Millisecond, 2 * time.Second},
-	ServerLimits:      {atServer, 8 * time.Second, 15 * time.Second},
+var faultSpecs = map[Fault]faultSpec{
+	StoreLinkDelayed:  {routerTarget, 500 * time.Millisecond, 3 * time.Second},
+	StoreLinkReset:    {routerTarget, 0, 0},
+	StoreLinkOneWay:   {routerTarget, 300 * time.Millisecond, 3 * time.Second},
+	StoreLinkSilent:   {routerTarget, 0, 0},
+	StoreLinkDown:     {routerTarget, 300 * time.Millisecond, 4 * time.Second},
+	ServerLinkDelayed: {serverTarget, 300 * time.Millisecond, 2 * time.Second},
+	ServerLinkReset:   {serverTarget, 0, 0},
+	ServerLinkOneWay:  {serverTarget, 200 * time.Millisecond, 2 * time.Second},
+	ServerLinkSilent:  {serverTarget, 0, 0},
+	StoreSlow:         {storeTarget, 500 * time.Millisecond, 3 * time.Second},
+	StoreDown:         {storeTarget, 300 * time.Millisecond, 4 * time.Second},
+	StoreLosesAnswers: {storeTarget, 300 * time.Millisecond, 2 * time.Second},
+	StoreWritesLate:   {storeTarget, 300 * time.Millisecond, 2 * time.Second},
+	StoreForgets:      {storeTarget, 100 * time.Millisecond, time.Second},
+	StoreDeaf:         {storeTarget, 300 * time.Millisecond, 3 * time.Second},
+	RouterStopped:     {routerTarget, 0, time.Second},
+	RouterPaused:      {routerTarget, 100 * time.Millisecond, 3 * time.Second},
+	RouterKilled:      {routerTarget, 0, time.Second},
+	RouterReloads:     {routerTarget, 0, 0},
+	ConfigChanged:     {storeTarget, 0, 0},
+	ServerLeaves:      {serverTarget, 0, 0},
+	ServerCrashes:     {serverTarget, 100 * time.Millisecond, 2 * time.Second},
+	ServerRefuses:     {serverTarget, 200 * time.Millisecond, 2 * time.Second},
+	ServerLimits:      {serverTarget, 8 * time.Second, 15 * time.Second},
 }
 
-// planned are drawn beside the faults of an epoch; a half of them in each.
-var planned = []Fault{ConfigChanged, ServerLeaves, RouterStopped, RouterReloads, ServerLimits, ServerLimits}
+// plannedChanges are drawn in addition to the faults of an epoch; each epoch gets half of them.
+var plannedChanges = []Fault{ConfigChanged, ServerLeaves, RouterStopped, RouterReloads, ServerLimits, ServerLimits}
 
-// Step is one fault at its time.
+// Step is one fault and when it occurs.
 type Step struct {
 	At    time.Duration
 	Fault Fault
 	// Target is the number of the router or server; 0 for the store.
 	Target int
-	// Lasts is how long the fault holds, or a process stays away.
-	Lasts time.Duration
+	// Duration is how long the fault lasts or a process stays down.
+	Duration time.Duration
 }
 
 const (
-	// epoch is how long the same few kinds of fault are drawn: bounds in time are
-	// only checked where some things were left alone for a while.
-	epoch = 6 * time.Second
-	// kindsAtOnce bounds the kinds of an epoch.
-	kindsAtOnce = 4
-	// meanGap is the mean time between two draws, each of one fault or a series.
-	meanGap = 700 * time.Millisecond
-	// seriesShare of the draws are series of up to seriesMost of one kind.
-	seriesShare = 0.25
-	seriesMost  = 4
-	seriesGap   = 400 * time.Millisecond
-	// calmEnds is free of new faults at either end of a run.
-	calmEnds = 1500 * time.Millisecond
+	// epochLength is how long the same few kinds of fault are drawn. The time bounds are only
+	// checked where the components concerned are undisrupted for a while, so each epoch leaves most
+	// kinds out.
+	epochLength = 6 * time.Second
+	// maxKindsPerEpoch bounds the kinds of fault drawn for an epoch, besides the planned changes.
+	maxKindsPerEpoch = 4
+	// meanInterval is the mean time between two draws, each of one fault or a burst.
+	meanInterval = 700 * time.Millisecond
+	// burstProbability is the probability that a draw is a burst of up to maxBurst faults of one
+	// kind.
+	burstProbability = 0.25
+	maxBurst         = 4
+	burstInterval    = 400 * time.Millisecond
+	// quietMargin is the time at the start and at the end of a run without new faults.
+	quietMargin = 1500 * time.Millisecond
 )
 
 // Schedule draws the faults of a run.
@@ -122,18 +123,18 @@
 	var steps []Step
 	var kinds []Fault
 	var until time.Duration
-	for at := calmEnds; at < length-calmEnds; at += time.Duration(rng.ExpFloat64() * float64(meanGap)) {
+	for at := quietMargin; at < length-quietMargin; at += time.Duration(rng.ExpFloat64() * float64(meanInterval)) {
 		if at >= until {
 			kinds = drawKinds(rng)
-			until = at + epoch
+			until = at + epochLength
 		}
 		kind := kinds[rng.IntN(len(kinds))]
 		count := 1
-		if rng.Float64() < seriesShare {
-			count += rng.IntN(seriesMost)
+		if rng.Float64() < burstProbability {
+			count += rng.IntN(maxBurst)
 		}
 		for i := range count {
-			steps = append(steps, drawStep(rng, kind, at+time.Duration(i)*seriesGap, routers, servers))
+			steps = append(steps, drawStep(rng, kind, at+time.Duration(i)*burstInterval, routers, servers))
 		}
 	}
 	sort.SliceStable(steps, func(i, j int) bool { return steps[i].At < steps[j].At })
@@ -142,29 +143,29 @@
 
 // drawKinds draws the kinds of fault of an epoch.
 func drawKinds(rng *rand.Rand) []Fault {
-	all := make([]Fault, 0, len(natures))
-	for kind := range natures {
+	all := make([]Fault, 0, len(faultSpecs))
+	for kind := range faultSpecs {
 		all = append(all, kind)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	kinds := all[:1+rng.IntN(kindsAtOnce)]
-	for _, i := range rng.Perm(len(planned))[:len(planned)/2] {
-		kinds = append(kinds, planned[i])
+	kinds := all[:1+rng.IntN(maxKindsPerEpoch)]
+	for _, i := range rng.Perm(len(plannedChanges))[:len(plannedChanges)/2] {
+		kinds = append(kinds, plannedChanges[i])
 	}
 	return kinds
 }
 
 func drawStep(rng *rand.Rand, kind Fault, at time.Duration, routers, servers int) Step {
-	n := natures[kind]
-	s := Step{At: at, Fault: kind, Lasts: n.min}
+	n := faultSpecs[kind]
+	s := Step{At: at, Fault: kind, Duration: n.min}
 	if n.max > n.min {
-		s.Lasts += time.Duration(rng.Int64N(int64(n.max - n.min)))
+		s.Duration += time.Duration(rng.Int64N(int64(n.max - n.min)))
 	}
 	switch n.target {
-	case atRouter:
+	case routerTarget:
 		s.Target = rng.IntN(routers)
-	case atServer:
+	case serverTarget:
 		s.Target = rng.IntN(servers)
 	}
 	return s
--- a/lab/soak/server.go
+++ b/lab/soak/server.go
@@ -8,30 +8,30 @@
 	"github.com/gaplink/gaplink/platform/standin"
 )
 
-// place is where one backend server runs after another, each under an id of its
-// own and all at the same address, behind a proxy.
-type place struct {
-	number int
-	seed   uint64
-	oracle *Oracle
-	store  *standin.Store
-	tally  *tally
-	proxy  *Proxy
-	// fail notes what went wrong with the run itself.
+// serverSlot is an address, behind a proxy, at which one backend server runs after another, each
+// under its own id.
+type serverSlot struct {
+	number   int
+	seed     uint64
+	oracle   *Oracle
+	store    *standin.Store
+	counters *runCounters
+	proxy    *Proxy
+	// fail records an error of the test harness itself.
 	fail func(error)
 
-	mu       sync.Mutex
-	id       string
-	life     int
-	scripted *standin.Scripted
-	leaving  bool
-	refusing int
-	// limit is the rate limit that the server names, in requests a second; 0: none.
-	limit float64
+	mu          sync.Mutex
+	id          string
+	incarnation int
+	scripted    *standin.Scripted
+	leaving     bool
+	refusing    int
+	// rateLimit is the rate limit that the server names, in requests per second; 0 means none.
+	rateLimit float64
 }
 
-func newPlace(number int, seed uint64, f *fleet) (*place, error) {
-	p := &place{number: number, seed: seed, oracle: f.oracle, store: f.store, tally: f.tally, fail: f.fail}
+func newServerSlot(number int, seed uint64, f *fleet) (*serverSlot, error) {
+	p := &serverSlot{number: number, seed: seed, oracle: f.oracle, store: f.store, counters: f.counters, fail: f.fail}
 	var err error
 	if p.proxy, err = NewProxy(""); err != nil {
 		return nil, err
@@ -40,22 +40,22 @@
 }
 
 // open starts the next server and registers it.
-func (p *place) open() error {
+func (p *serverSlot) open() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.life++
-	id := fmt.Sprintf("s%d-%d", p.number, p.life)
+	p.incarnation++
+	id := fmt.Sprintf("s%d-%d", p.number, p.incarnation)
 	scripted, err := standin.NewScripted(standin.NewPlay(func(r standin.Run) standin.Answer { return p.answer(id, r) }))
 	if err != nil {
 		return err
 	}
-	p.id, p.scripted, p.leaving, p.limit = id, scripted, false, 0
+	p.id, p.scripted, p.leaving, p.rateLimit = id, scripted, false, 0
 	p.proxy.Retarget(scripted.Addr())
 	return p.store.Register(id, p.proxy.Addr(), false)
 }
 
-// answer is the script of the server with that id.
-func (p *place) answer(id string, r standin.Run) standin.Answer {
+// answer returns the answer of the server with the given id to a run.
+func (p *serverSlot) answer(id string, r standin.Run) standin.Answer {
 	if !r.MeantFor(id) {
 		return standin.Elsewhere(id)
 	}
@@ -65,88 +65,90 @@
 		return standin.Elsewhere(id)
 	}
 	if request.Poison != "" {
-		p.tally.ending(EndsServer)
-		p.oracle.Ran(r.RequestID, p.number, EndsServer, silent(), now)
-		go p.endUnder(id, request.Poison)
-		return silent()
+		p.counters.countEnding(EndsServer)
+		p.oracle.Ran(r.RequestID, p.number, EndsServer, silentAnswer(), now)
+		go p.crashUnder(id, request.Poison)
+		return silentAnswer()
 	}
 	a, e := DrawAnswer(p.seed, r, before, request)
-	if p.refuses() {
-		a, e = refusal(r.RequestID), Refusal
+	if p.isRefusing() {
+		a, e = refusalAnswer(r.RequestID), Refusal
 	}
-	if limit := p.named(); limit > 0 {
+	if limit := p.namedRateLimit(); limit > 0 {
 		a.Fields = append(a.Fields, standin.Limit(limit))
 	}
-	p.tally.ending(e)
+	p.counters.countEnding(e)
 	if !e.NotRun() {
 		p.oracle.Ran(r.RequestID, p.number, e, a, now)
 	}
 	return a
 }
 
-// limits are what servers name as their rate limits, in requests a second.
-var limits = []float64{0.5, 1.2, 4, 9}
+// namedRateLimits are the rate limits that servers name, in requests per second.
+var namedRateLimits = []float64{0.5, 1.2, 4, 9}
 
-// limitFor makes the server name a rate limit for a while; false: it names one already.
-func (p *place) limitFor(lasts time.Duration) bool {
-	id, ok := p.setLimit(limits[lasts.Milliseconds()%int64(len(limits))])
+// nameLimitFor makes the server name a rate limit for the given time. It returns false if the
+// server already names one.
+func (p *serverSlot) nameLimitFor(duration time.Duration) bool {
+	id, ok := p.setRateLimit(namedRateLimits[duration.Milliseconds()%int64(len(namedRateLimits))])
 	if !ok {
 		return false
 	}
-	time.Sleep(lasts)
-	p.endLimit(id)
+	time.Sleep(duration)
+	p.endRateLimit(id)
 	return true
 }
 
-func (p *place) setLimit(perSecond float64) (id string, ok bool) {
+func (p *serverSlot) setRateLimit(perSecond float64) (id string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.limit > 0 {
+	if p.rateLimit > 0 {
 		return "", false
 	}
-	p.limit = perSecond
-	p.oracle.Limits(p.id, perSecond, time.Now())
+	p.rateLimit = perSecond
+	p.oracle.SetRateLimit(p.id, perSecond, time.Now())
 	return p.id, true
 }
 
-// endLimit ends the limit of a server, if it still runs.
-func (p *place) endLimit(id string) {
+// endRateLimit ends the rate limit of the server with the given id, if that server still runs.
+func (p *serverSlot) endRateLimit(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.oracle.Limits(id, 0, time.Now())
+	p.oracle.SetRateLimit(id, 0, time.Now())
 	if p.id == id {
-		p.limit = 0
+		p.rateLimit = 0
 	}
 }
 
-// named returns the limit that the server names.
-func (p *place) named() float64 {
+// namedRateLimit returns the rate limit that the server names.
+func (p *serverSlot) namedRateLimit() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limit
+	return p.rateLimit
 }
 
-func (p *place) refuses() bool {
+func (p *serverSlot) isRefusing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.refusing > 0
 }
 
-// refuse makes the server refuse for a while.
-func (p *place) refuse(lasts time.Duration) {
+// refuseFor makes the server refuse requests for the given time.
+func (p *serverSlot) refuseFor(duration time.Duration) {
 	p.addRefusing(1)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	p.addRefusing(-1)
 }
 
-func (p *place) addRefusing(n int) {
+func (p *serverSlot) addRefusing(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refusing += n
 }
 
-// claim takes the server for its end, which only one may bring about.
-func (p *place) claim() (id string, ok bool) {
+// beginShutdown marks the server as shutting down. ok is false if a shutdown was already in
+// progress.
+func (p *serverSlot) beginShutdown() (id string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ok = !p.leaving
@@ -154,10 +156,10 @@
 	return p.id, ok
 }
 
-// leave registers the server as leaving, lets it serve on for a while, and puts
-// another one in its place. It returns false if its end was under way already.
-func (p *place) leave(serveOn time.Duration) (bool, error) {
-	id, ok := p.claim()
+// leave registers the server as leaving, keeps it serving for the given time and then replaces it.
+// It returns false if a shutdown was already in progress.
+func (p *serverSlot) leave(serveFor time.Duration) (bool, error) {
+	id, ok := p.beginShutdown()
 	if !ok {
 		return false, nil
 	}
@@ -165,32 +167,32 @@
 		return true, err
 	}
 	p.oracle.Leaving(id, time.Now())
-	time.Sleep(serveOn)
-	p.oracle.Disturbed(ServerAt(p.number), time.Now(), time.Now())
+	time.Sleep(serveFor)
+	p.oracle.AddDisruption(ServerAtSlot(p.number), time.Now(), time.Now())
 	defer p.oracle.Left(id)
 	return true, p.replace(id)
 }
 
-// crash ends the server at once; another one takes its place later.
-func (p *place) crash(away time.Duration) (bool, error) {
-	return p.crashAnd(func() {}, away)
+// crash ends the server abruptly and replaces it after the downtime.
+func (p *serverSlot) crash(downtime time.Duration) (bool, error) {
+	return p.crashWith(func() {}, downtime)
 }
 
-// crashAnd does so, and calls ended when the server has.
-func (p *place) crashAnd(ended func(), away time.Duration) (bool, error) {
-	id, ok := p.claim()
+// crashWith is like crash and calls ended once the server has ended.
+func (p *serverSlot) crashWith(ended func(), downtime time.Duration) (bool, error) {
+	id, ok := p.beginShutdown()
 	if !ok {
 		return false, nil
 	}
 	now := time.Now()
-	p.oracle.Disturbed(ServerAt(p.number), now, now.Add(away))
+	p.oracle.AddDisruption(ServerAtSlot(p.number), now, now.Add(downtime))
 	p.close()
 	ended()
-	time.Sleep(away)
+	time.Sleep(downtime)
 	return true, p.replace(id)
 }
 
-func (p *place) replace(id string) error {
+func (p *serverSlot) replace(id string) error {
 	p.close()
 	if err := p.store.Unregister(id); err != nil {
 		return err
@@ -198,7 +200,7 @@
 	return p.open()
 }
 
-func (p *place) close() {
+func (p *serverSlot) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scripted.Close()
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -9,84 +9,84 @@
 	"time"
 )
 
-// Options are what a run is made of.
+// Options are the parameters of a run.
 type Options struct {
 	Seed    uint64
 	Length  time.Duration
 	Routers int
 	Servers int
-	// Processes bounds the processes of a run, this one included.
+	// Processes bounds the processes of a run, including this one.
 	Processes int
 }
 
-// Summary is what a run found. Every fault, ending and answer is counted by kind.
+// Summary is the result of a run. Faults, endings and answers are counted by kind.
 type Summary struct {
-	Seed     uint64           `json:"seed"`
-	Seconds  float64          `json:"seconds"`
-	Requests int              `json:"requests"`
-	Answers  map[string]int   `json:"answers"`
-	Faults   map[Fault]int    `json:"faults"`
-	Endings  map[Ending]int   `json:"endings"`
-	Handed   map[string]int64 `json:"tokens_handed_out"`
-	Issued   map[string]int64 `json:"tokens_issued"`
-	Checked  map[Promise]int  `json:"checked"`
-	Breaches int              `json:"breaches"`
-	Broken   []Broken         `json:"broken,omitempty"`
-	Logs     string           `json:"logs,omitempty"`
+	Seed            uint64            `json:"seed"`
+	Seconds         float64           `json:"seconds"`
+	Requests        int               `json:"requests"`
+	Answers         map[string]int    `json:"answers"`
+	Faults          map[Fault]int     `json:"faults"`
+	Endings         map[Ending]int    `json:"endings"`
+	TokensHandedOut map[string]int64  `json:"tokens_handed_out"`
+	TokensIssued    map[string]int64  `json:"tokens_issued"`
+	Checked         map[Guarantee]int `json:"checked"`
+	ViolationCount  int               `json:"breaches"`
+	Violations      []Violation       `json:"broken,omitempty"`
+	Logs            string            `json:"logs,omitempty"`
 }
 
-// The ways in which a run fails.
+// The errors of a run.
 var (
-	// ErrBroken: a promise was broken.
-	ErrBroken = errors.New("a promise is broken")
-	// ErrIdle: nothing was served, or nothing disturbed it.
-	ErrIdle = errors.New("the run served nothing or had no fault, and shows nothing")
-	// ErrTooMany: the run needs more processes than it may have.
-	ErrTooMany = errors.New("too many processes")
+	// ErrViolation reports that a guarantee was violated.
+	ErrViolation = errors.New("a promise is broken")
+	// ErrInconclusive reports that no request was served completely or no fault occurred.
+	ErrInconclusive = errors.New("the run served nothing or had no fault, and shows nothing")
+	// ErrTooManyProcesses reports that the run needs more processes than it may have.
+	ErrTooManyProcesses = errors.New("too many processes")
 )
 
 const (
-	// callers is the number of callers.
-	callers = 12
-	// auditEvery is the time between two looks at what was issued.
-	auditEvery = 200 * time.Millisecond
-	// overtime is how long children may live beyond the run's length: the last
-	// changes, the stops at the end and a busy machine.
-	overtime = time.Minute
-	// reported bounds the broken promises in a summary.
-	reported = 20
+	// callerCount is the number of concurrent callers.
+	callerCount = 12
+	// auditInterval is the time between two audits of the issued tokens.
+	auditInterval = 200 * time.Millisecond
+	// shutdownAllowance is how long child processes may run beyond the run's length. It covers
+	// pending changes, the final stops and a busy machine.
+	shutdownAllowance = time.Minute
+	// maxReported bounds the violations listed in a summary.
+	maxReported = 20
 )
 
-// Run makes one run. The context ends it early.
+// Run executes one run. Canceling the context ends the run early.
 func Run(ctx context.Context, o Options) (Summary, error) {
 	if o.Routers+1 > o.Processes {
-		return Summary{}, fmt.Errorf("%w: %d routers and this one, of %d", ErrTooMany, o.Routers, o.Processes)
+		return Summary{}, fmt.Errorf("%w: %d routers and this one, of %d", ErrTooManyProcesses, o.Routers, o.Processes)
 	}
 	dir, err := os.MkdirTemp("", "gaplink-soak-")
 	if err != nil {
 		return Summary{}, err
 	}
-	oracle, counts := NewOracle(time.Now(), DefaultBounds()), newTally()
-	life, cancel := context.WithTimeout(ctx, o.Length+overtime)
+	oracle, counters := NewOracle(time.Now(), DefaultBounds()), newRunCounters()
+	runCtx, cancel := context.WithTimeout(ctx, o.Length+shutdownAllowance)
 	defer cancel()
-	err = soak(life, o, dir, oracle, counts)
-	s := summarize(o, dir, oracle, counts)
+	err = runFleet(runCtx, o, dir, oracle, counters)
+	s := summarize(o, dir, oracle, counters)
 	switch {
 	case err != nil:
-	case s.Breaches > 0:
-		err = ErrBroken
+	case s.ViolationCount > 0:
+		err = ErrViolation
 	case len(s.Faults) == 0 || s.Answers["200 complete"] == 0:
-		err = ErrIdle
+		err = ErrInconclusive
 	default:
 		s.Logs = ""
-		_ = os.RemoveAll(dir) // only in the way
+		_ = os.RemoveAll(dir) // best effort
 	}
 	return s, err
 }
 
-// soak starts a fleet, disturbs it under load and ends it.
-func soak(ctx context.Context, o Options, dir string, oracle *Oracle, counts *tally) error {
-	f, err := newFleet(oracle, counts)
+// runFleet starts a fleet, injects faults under load and stops the fleet.
+func runFleet(ctx context.Context, o Options, dir string, oracle *Oracle, counters *runCounters) error {
+	f, err := newFleet(oracle, counters)
 	if err != nil {
 		return err
 	}
@@ -95,35 +95,35 @@
 	if err := f.start(ctx, o, dir); err != nil {
 		return err
 	}
-	load, done := context.WithTimeout(ctx, o.Length)
-	defer done()
-	var all sync.WaitGroup
-	for i := range callers {
-		c := newCaller(i, o.Seed, f.routers, oracle, counts)
-		all.Add(1)
+	loadCtx, stopLoad := context.WithTimeout(ctx, o.Length)
+	defer stopLoad()
+	var workers sync.WaitGroup
+	for i := range callerCount {
+		c := newCaller(i, o.Seed, f.routers, oracle, counters)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
-			c.run(load)
+			defer workers.Done()
+			c.run(loadCtx)
 		}()
 	}
-	all.Add(1)
+	workers.Add(1)
 	go func() {
-		defer all.Done()
-		f.auditWhile(load)
+		defer workers.Done()
+		f.auditUntilDone(loadCtx)
 	}()
-	all.Add(1)
+	workers.Add(1)
 	go func() {
-		defer all.Done()
-		f.playEpisodes(load, o.Seed, Episodes(o.Seed, o.Length))
+		defer workers.Done()
+		f.runEpisodes(loadCtx, o.Seed, PoisonEpisodes(o.Seed, o.Length))
 	}()
-	f.play(load, Schedule(o.Seed, o.Length, o.Routers, o.Servers))
-	all.Wait()
+	f.runSchedule(loadCtx, Schedule(o.Seed, o.Length, o.Routers, o.Servers))
+	workers.Wait()
 	f.stop()
 	return errors.Join(f.err(), f.audit(), ctx.Err())
 }
 
-func (f *fleet) auditWhile(ctx context.Context) {
-	for ; ctx.Err() == nil; time.Sleep(auditEvery) {
+func (f *fleet) auditUntilDone(ctx context.Context) {
+	for ; ctx.Err() == nil; time.Sleep(auditInterval) {
 		if err := f.audit(); err != nil {
 			f.fail(err)
 			return
@@ -131,12 +131,12 @@
 	}
 }
 
-func summarize(o Options, dir string, oracle *Oracle, counts *tally) Summary {
-	broken := oracle.Broken()
-	counts.mu.Lock()
-	defer counts.mu.Unlock()
+func summarize(o Options, dir string, oracle *Oracle, counters *runCounters) Summary {
+	violations := oracle.Violations()
+	counters.mu.Lock()
+	defer counters.mu.Unlock()
 	return Summary{
-		Seed: o.Seed, Seconds: o.Length.Seconds(), Requests: counts.requests, Answers: counts.answers, Faults: counts.faults,
-		Endings: counts.endings, Handed: oracle.Handed(), Issued: counts.issuedTo, Checked: oracle.Checked(), Breaches: len(broken), Broken: broken[:min(len(broken), reported)], Logs: dir,
+		Seed: o.Seed, Seconds: o.Length.Seconds(), Requests: counters.requests, Answers: counters.answers, Faults: counters.faults,
+		Endings: counters.endings, TokensHandedOut: oracle.HandedOut(), TokensIssued: counters.issuedTokens, Checked: oracle.Checked(), ViolationCount: len(violations), Violations: violations[:min(len(violations), maxReported)], Logs: dir,
 	}
 }
