--- a/lab/policy.go
+++ b/lab/policy.go
@@ -13,14 +13,14 @@
 	"github.com/gaplink/gaplink/lab/routing"
 )
 
-// Bounds of the chosen policy, checked by `policy --check`. They are on
-// deterministic figures of seeded runs.
+// Bounds of the chosen policy, checked by `policy --check`. They apply to
+// deterministic results of seeded runs.
 const (
 	maxFalseCalm   = 0.1 // percent of requests, without faults
 	maxFalseFaults = 1.0 // percent of requests, with the fault mix
 	maxLeftCalm    = 0.5 // percent of the budgets that ran out, without faults
-	timesBetter    = 10  // false refusals against equal static shares
-	maxWrites      = 100 // store writes a second
+	timesBetter    = 10  // minimum factor between the false refusals of equal static shares and those of the chosen policy
+	maxWrites      = 100 // store writes per second
 )
 
 var errBound = errors.New("a bound is not kept")
@@ -35,7 +35,7 @@
 	return cmd
 }
 
-// contender is one policy of the comparison.
+// contender is one of the compared policies.
 type contender struct {
 	name string
 	run  func(policy.Scenario) policy.Result
@@ -75,21 +75,21 @@
 	return errors.Join(kept...)
 }
 
-// ledgerLoads are the sizes of today and of the target.
+// ledgerLoads returns the loads of the current and of the target fleet size.
 func ledgerLoads() []policy.LedgerLoad {
 	today := policy.LedgerLoad{
-		Name: "ledger, 8 routers", Seed: 1, PerSecond: 166, Once: 0.2, Shards: 2,
+		Name: "ledger, 8 routers", Seed: 1, PerSecond: 166, NotRepeatable: 0.2, Shards: 2,
 		Spacing: 20 * time.Millisecond, Linger: 80 * time.Millisecond,
-		Hop: 2 * time.Millisecond, StoreDelay: 5 * time.Millisecond, Length: time.Minute,
+		RoundTrip: 2 * time.Millisecond, StoreDelay: 5 * time.Millisecond, Length: time.Minute,
 	}
 	target := today
 	target.Name, target.PerSecond, target.Shards = "ledger, 390 routers", 8100, 40
-	target.Spacing, target.Linger, target.Hop = 350*time.Millisecond, 350*time.Millisecond, 10*time.Millisecond
+	target.Spacing, target.Linger, target.RoundTrip = 350*time.Millisecond, 350*time.Millisecond, 10*time.Millisecond
 	return []policy.LedgerLoad{today, target}
 }
 
-// The bounds of the ledger: writes a second beside those of the grants, and
-// the wait of a claim, for today's size and the target.
+// ledgerBounds are the bounds for the loads of ledgerLoads: store writes per second, not
+// counting those of grants, and the wait of a claim in milliseconds.
 var ledgerBounds = []struct{ writes, onceP99 float64 }{{90, 50}, {150, 500}}
 
 func compareRouting(out io.Writer) {
@@ -108,8 +108,8 @@
 	for i, load := range ledgerLoads() {
 		r := policy.RunLedger(load)
 		_, _ = fmt.Fprintf(out, "%-28s requests %d writes/s %.1f bytes/s %.0f claim wait not-repeatable p50 %.1f p99 %.1f ms, repeatable p50 %.1f p99 %.1f ms, bill wait p50 %.1f p99 %.1f ms\n",
-			r.Name, r.Requests, r.WritesPerSecond, r.BytesPerSecond, r.OnceP50, r.OnceP99, r.SoftP50, r.SoftP99, r.BillP50, r.BillP99)
-		if r.WritesPerSecond > ledgerBounds[i].writes || r.OnceP99 > ledgerBounds[i].onceP99 {
+			r.Name, r.Requests, r.WritesPerSecond, r.BytesPerSecond, r.NotRepeatableP50, r.NotRepeatableP99, r.RepeatableP50, r.RepeatableP99, r.BillP50, r.BillP99)
+		if r.WritesPerSecond > ledgerBounds[i].writes || r.NotRepeatableP99 > ledgerBounds[i].onceP99 {
 			kept = append(kept, fmt.Errorf("%w: %s", errBound, r.Name))
 		}
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// bounds checks the chosen policy, the last of the results, against the
-// others.
+// bounds checks the chosen policy, which is the last of the results, against its bounds
+// and against static shares, which are the first.
 func bounds(s policy.Scenario, results []policy.Result) error {
 	static, chosen := results[0], results[len(results)-1]
 	maxFalse := maxFalseCalm
--- a/lab/policy/agents.go
+++ b/lab/policy/agents.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	tickEvery = 50 * time.Millisecond
-	// callTimeout is when a call without an answer counts as failed.
+	tickInterval = 50 * time.Millisecond
+	// callTimeout is the time after which a call without an answer has failed.
 	callTimeout = 400 * time.Millisecond
-	// scanEvery is how often dead routers are looked for.
-	scanEvery = time.Second
-	// shards is the number of ledger shards, for the writes of a reclaim.
+	// reclaimInterval is the interval between checks for dead routers.
+	reclaimInterval = time.Second
+	// shards is the number of ledger shards. A reclaim writes to each of them.
 	shards = 2
 )
 
-// node is one router with the real budget agent.
+// node is one simulated router that runs the production budget agent.
 type node struct {
 	index       int
 	incarnation int
@@ -30,49 +30,49 @@
 
 func (n *node) name() string { return fmt.Sprintf("%s/%d", routerName(n.index), n.incarnation) }
 
-// leftover is what a killed router left.
-type leftover struct {
+// deadRouter is a killed router whose tokens have not been reclaimed.
+type deadRouter struct {
 	incarnation string
-	held        map[string]int64 // balances when it died
+	balances    map[string]int64 // by budget, at the time of the kill
 }
 
-// agents is the chosen policy: the real decision code.
-type agents struct {
-	w        *world
-	cfg      budget.Config
-	nodes    []*node
-	pages    map[int]*budget.Page
-	versions map[int]int64
-	dead     []*leftover
-	restart  map[string]bool // dead ones whose instance runs again
+// agentAllocator is the chosen policy. It runs the production budget agent on each router.
+type agentAllocator struct {
+	w         *simulation
+	cfg       budget.Config
+	nodes     []*node
+	pages     map[int]*budget.Page
+	versions  map[int]int64
+	dead      []*deadRouter
+	restarted map[string]bool // incarnations of killed routers whose instance has restarted
 }
 
-// Chosen returns the policy that gaplink uses.
-func Chosen(w *world) Sharer {
-	a := &agents{
-		w:        w,
-		cfg:      budget.DefaultConfig(),
-		pages:    w.limitsPages(),
-		versions: map[int]int64{},
-		restart:  map[string]bool{},
+// Chosen returns the allocator that gaplink uses in production.
+func Chosen(w *simulation) Allocator {
+	a := &agentAllocator{
+		w:         w,
+		cfg:       budget.DefaultConfig(),
+		pages:     w.limitsPages(),
+		versions:  map[int]int64{},
+		restarted: map[string]bool{},
 	}
-	a.cfg.Pages = w.spec.Pages
-	a.cfg.HomeHorizon = w.spec.Hold
-	for i := range w.spec.Routers {
+	a.cfg.Pages = w.scenario.Pages
+	a.cfg.HomeHorizon = w.scenario.Hold
+	for i := range w.scenario.Routers {
 		a.nodes = append(a.nodes, &node{index: i})
-		a.boot(a.nodes[i])
+		a.start(a.nodes[i])
 	}
-	w.After(scanEvery, a.scan)
+	w.After(reclaimInterval, a.reclaimDead)
 	return a
 }
 
-// boot starts a router with nothing.
-func (a *agents) boot(n *node) {
+// start starts a router with empty state.
+func (a *agentAllocator) start(n *node) {
 	n.incarnation++
 	self := membership.Member{ID: routerName(n.index), Kind: "router", State: membership.Live}
 	n.view = membership.NewView(self)
 	var list []membership.Member
-	for i := range a.w.spec.Routers {
+	for i := range a.w.scenario.Routers {
 		list = append(list, membership.Member{ID: routerName(i), Kind: "router", State: membership.Live})
 	}
 	n.view.SetList(list)
@@ -89,18 +89,18 @@
 	a.tick(n, n.incarnation)
 }
 
-func (a *agents) tick(n *node, incarnation int) {
-	a.w.After(tickEvery, func() {
+func (a *agentAllocator) tick(n *node, incarnation int) {
+	a.w.After(tickInterval, func() {
 		if n.incarnation != incarnation || a.w.killed[n.index] {
 			return
 		}
-		a.w.onRouter(n.index, func() { a.perform(n, n.agent.Tick(a.w.Now)) })
+		a.w.runOnRouter(n.index, func() { a.execute(n, n.agent.Tick(a.w.Now)) })
 		a.tick(n, incarnation)
 	})
 }
 
-// Reserve implements Sharer.
-func (a *agents) Reserve(router int, id string, need int64, done func(bool)) {
+// Reserve implements Allocator.
+func (a *agentAllocator) Reserve(router int, id string, need int64, done func(bool)) {
 	n := a.nodes[router]
 	token, granted, effects := n.agent.Reserve(a.w.Now, id, need)
 	if granted {
@@ -108,16 +108,16 @@
 	} else {
 		n.waiting[token] = done
 	}
-	a.perform(n, effects)
+	a.execute(n, effects)
 }
 
-// Settle implements Sharer.
-func (a *agents) Settle(router int, id string, reserved, actual int64) {
+// Settle implements Allocator.
+func (a *agentAllocator) Settle(router int, id string, reserved, actual int64) {
 	n := a.nodes[router]
-	a.perform(n, n.agent.Settle(a.w.Now, id, reserved, actual))
+	a.execute(n, n.agent.Settle(a.w.Now, id, reserved, actual))
 }
 
-func (a *agents) perform(n *node, effects []budget.Effect) {
+func (a *agentAllocator) execute(n *node, effects []budget.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case budget.Resolve:
@@ -133,34 +133,34 @@
 		case budget.WritePage:
 			a.write(n, e)
 		case budget.Suspect:
-			a.suspect(n, e.ID)
+			a.reportUnreachable(n, e.ID)
 		case budget.AskAgain:
-			a.perform(n, n.agent.AskAgain(a.w.Now, e.Budget))
+			a.execute(n, n.agent.AskAgain(a.w.Now, e.Budget))
 		}
 	}
 }
 
-func (a *agents) suspect(n *node, id string) {
+func (a *agentAllocator) reportUnreachable(n *node, id string) {
 	if id != routerName(n.index) {
 		n.view.Failed(a.w.Now, id)
 	}
 }
 
-// later does something at the same life of a router after a delay.
-func (a *agents) later(n *node, d time.Duration, do func()) {
+// schedule calls do after a delay, unless the router has been killed or restarted by then.
+func (a *agentAllocator) schedule(n *node, d time.Duration, do func()) {
 	incarnation := n.incarnation
 	a.w.After(d, func() {
 		if n.incarnation != incarnation || a.w.killed[n.index] {
 			return
 		}
-		a.w.onRouter(n.index, do)
+		a.w.runOnRouter(n.index, do)
 	})
 }
 
-func (a *agents) send(from *node, m budget.Message) {
+func (a *agentAllocator) send(from *node, m budget.Message) {
 	to := a.nodes[indexOf(m.To.ID)]
 	if to == from {
-		a.later(from, 0, func() { a.perform(from, from.agent.Receive(a.w.Now, m)) })
+		a.schedule(from, 0, func() { a.execute(from, from.agent.Receive(a.w.Now, m)) })
 		return
 	}
 	a.w.counts.Messages++
@@ -168,32 +168,32 @@
 	oneWay := a.w.delay(from.index, to.index)
 	switch {
 	case a.w.killed[to.index]:
-		a.later(from, 2*oneWay, func() { a.failed(from, m, true) })
+		a.schedule(from, 2*oneWay, func() { a.deliveryFailed(from, m, true) })
 	case !a.w.reaches(from.index, to.index):
-		a.later(from, callTimeout, func() { a.failed(from, m, false) })
+		a.schedule(from, callTimeout, func() { a.deliveryFailed(from, m, false) })
 	default:
 		a.deliver(from, to, m, oneWay)
 	}
 }
 
-// deliver brings a message to its receiver; a frozen one handles it when it
-// wakes, and the sender has given up by then.
-func (a *agents) deliver(from, to *node, m budget.Message, oneWay time.Duration) {
+// deliver delivers a message after the one-way delay. A frozen receiver handles
+// the message once it resumes; the sender's call has timed out by then.
+func (a *agentAllocator) deliver(from, to *node, m budget.Message, oneWay time.Duration) {
 	if a.w.frozen[to.index] {
-		a.later(from, callTimeout, func() { a.failed(from, m, false) })
+		a.schedule(from, callTimeout, func() { a.deliveryFailed(from, m, false) })
 	}
-	a.later(to, oneWay, func() {
+	a.schedule(to, oneWay, func() {
 		if !to.agent.Accepts(m) {
-			a.later(from, oneWay, func() { a.failed(from, m, true) })
+			a.schedule(from, oneWay, func() { a.deliveryFailed(from, m, true) })
 			return
 		}
-		a.perform(to, to.agent.Receive(a.w.Now, m))
+		a.execute(to, to.agent.Receive(a.w.Now, m))
 	})
 }
 
-func (a *agents) failed(n *node, m budget.Message, certain bool) {
-	a.suspect(n, m.To.ID)
-	a.perform(n, n.agent.Undelivered(a.w.Now, m, certain))
+func (a *agentAllocator) deliveryFailed(n *node, m budget.Message, certain bool) {
+	a.reportUnreachable(n, m.To.ID)
+	a.execute(n, n.agent.Undelivered(a.w.Now, m, certain))
 }
 
 func indexOf(name string) int {
@@ -207,30 +207,30 @@
 	return int64(len(b))
 }
 
-func (a *agents) read(n *node, page int) {
+func (a *agentAllocator) read(n *node, page int) {
 	a.w.counts.Reads++
-	a.later(n, a.w.spec.StoreDelay, func() {
-		if a.w.down {
-			a.perform(n, n.agent.PageRead(a.w.Now, page, 0, nil, budget.Unavailable))
+	a.schedule(n, a.w.scenario.StoreDelay, func() {
+		if a.w.storeDown {
+			a.execute(n, n.agent.PageRead(a.w.Now, page, 0, nil, budget.Unavailable))
 			return
 		}
 		p, ok := a.pages[page]
 		if !ok {
-			a.perform(n, n.agent.PageRead(a.w.Now, page, 0, nil, budget.Missing))
+			a.execute(n, n.agent.PageRead(a.w.Now, page, 0, nil, budget.Missing))
 			return
 		}
-		a.perform(n, n.agent.PageRead(a.w.Now, page, a.versions[page], p.Clone(), budget.Done))
+		a.execute(n, n.agent.PageRead(a.w.Now, page, a.versions[page], p.Clone(), budget.Done))
 	})
 }
 
-// write applies at the store after half the delay, whatever becomes of the
-// writer meanwhile.
-func (a *agents) write(n *node, e budget.WritePage) {
+// write applies the write at the store after half the delay, even if the writer
+// is killed in the meantime.
+func (a *agentAllocator) write(n *node, e budget.WritePage) {
 	a.w.counts.Writes++
-	a.w.After(a.w.spec.StoreDelay/2, func() {
+	a.w.After(a.w.scenario.StoreDelay/2, func() {
 		result := budget.Done
 		switch {
-		case a.w.down:
+		case a.w.storeDown:
 			result = budget.Unavailable
 		case a.versions[e.Page] != e.Version:
 			result = budget.Conflict
@@ -239,47 +239,47 @@
 			a.pages[e.Page] = e.Value.Clone()
 		}
 		version := a.versions[e.Page]
-		a.later(n, a.w.spec.StoreDelay/2, func() {
-			a.perform(n, n.agent.PageWritten(a.w.Now, e.Page, version, result, nil))
+		a.schedule(n, a.w.scenario.StoreDelay/2, func() {
+			a.execute(n, n.agent.PageWritten(a.w.Now, e.Page, version, result, nil))
 		})
 	})
 }
 
-// Killed implements Sharer.
-func (a *agents) Killed(router int) {
+// Killed implements Allocator.
+func (a *agentAllocator) Killed(router int) {
 	n := a.nodes[router]
-	l := &leftover{incarnation: n.name(), held: map[string]int64{}}
+	l := &deadRouter{incarnation: n.name(), balances: map[string]int64{}}
 	for id, h := range n.agent.Holdings() {
-		l.held[id] = h.Balance + h.Writing
+		l.balances[id] = h.Balance + h.Writing
 	}
 	a.dead = append(a.dead, l)
 	n.waiting = map[uint64]func(bool){}
 }
 
-// Started implements Sharer.
-func (a *agents) Started(router int) {
-	a.restart[a.nodes[router].name()] = true
-	a.boot(a.nodes[router])
+// Started implements Allocator.
+func (a *agentAllocator) Started(router int) {
+	a.restarted[a.nodes[router].name()] = true
+	a.start(a.nodes[router])
 }
 
-// Frozen implements Sharer.
-func (a *agents) Frozen(int) {}
+// Frozen implements Allocator.
+func (a *agentAllocator) Frozen(int) {}
 
-// Woken implements Sharer.
-func (a *agents) Woken(int) {}
+// Resumed implements Allocator.
+func (a *agentAllocator) Resumed(int) {}
 
-// ToppedUp implements Sharer.
-func (a *agents) ToppedUp(id string, tokens int64) {
+// ToppedUp implements Allocator.
+func (a *agentAllocator) ToppedUp(id string, tokens int64) {
 	n := budget.PageOf(id, a.cfg.Pages)
 	a.pages[n].Budgets[id].Limit += tokens
 	a.versions[n]++
 }
 
-// scan reclaims what a dead router left, as the controller does: one at a
-// time, while the store and all others answer.
-func (a *agents) scan() {
-	a.w.After(scanEvery, a.scan)
-	if a.w.down || a.w.cut || len(a.dead) != 1 || !a.restart[a.dead[0].incarnation] || a.anyAway() {
+// reclaimDead reclaims the tokens of a dead router, as the controller does: one router at
+// a time, and only while the store and all other routers answer.
+func (a *agentAllocator) reclaimDead() {
+	a.w.After(reclaimInterval, a.reclaimDead)
+	if a.w.storeDown || a.w.partitioned || len(a.dead) != 1 || !a.restarted[a.dead[0].incarnation] || a.anyUnavailable() {
 		return
 	}
 	l := a.dead[0]
@@ -293,7 +293,7 @@
 	}
 }
 
-func (a *agents) anyAway() bool {
+func (a *agentAllocator) anyUnavailable() bool {
 	for i := range a.nodes {
 		if a.w.killed[i] || a.w.frozen[i] {
 			return true
@@ -302,14 +302,14 @@
 	return false
 }
 
-func (a *agents) reclaim(n int, page *budget.Page, l *leftover) {
+func (a *agentAllocator) reclaim(n int, page *budget.Page, l *deadRouter) {
 	stranded := map[string]int64{}
 	for id, r := range page.Budgets {
 		live := map[string]budget.Holding{}
 		for _, other := range a.nodes {
 			live[other.name()] = other.agent.Holding(id)
 		}
-		charged := a.w.books[id].spent + a.w.extra[id]
+		charged := a.w.budgets[id].spent + a.w.unresolved[id]
 		if tokens := budget.Stranded(r.Issued(), live, charged); tokens > 0 {
 			stranded[id] = tokens
 		}
@@ -320,9 +320,9 @@
 	a.w.counts.Reads++
 }
 
-// Where implements Sharer.
-func (a *agents) Where(id string) Place {
-	var p Place
+// Locate implements Allocator.
+func (a *agentAllocator) Locate(id string) Location {
+	var p Location
 	if r := a.pages[budget.PageOf(id, a.cfg.Pages)].Budgets[id]; r != nil {
 		p.Store = r.Free()
 	}
@@ -346,7 +346,7 @@
 		}
 	}
 	for _, l := range a.dead {
-		p.Dead += l.held[id]
+		p.Dead += l.balances[id]
 	}
 	return p
 }
--- a/lab/policy/baselines.go
+++ b/lab/policy/baselines.go
@@ -6,20 +6,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// held is what routers hold of budgets in the baselines.
-type held []map[string]int64
+// balances contains the token balances of each router by budget, in the baselines.
+type balances []map[string]int64
 
-func newHeld(routers int) held {
-	h := make(held, routers)
+func newBalances(routers int) balances {
+	h := make(balances, routers)
 	for i := range h {
 		h[i] = map[string]int64{}
 	}
 	return h
 }
 
-// where sums a budget's balances.
-func (h held) where(w *world, id string, store, lost int64) Place {
-	p := Place{Store: store, Dead: lost}
+// locate sums the balances of a budget by location.
+func (h balances) locate(w *simulation, id string, store, lost int64) Location {
+	p := Location{Store: store, Dead: lost}
 	for i, m := range h {
 		if w.killed[i] || w.frozen[i] {
 			p.Dead += m[id]
@@ -30,39 +30,39 @@
 	return p
 }
 
-// lose counts a killed router's balances as lost.
-func (h held) lose(router int, lost map[string]int64) {
+// writeOff adds the balances of a killed router to the lost tokens.
+func (h balances) writeOff(router int, lost map[string]int64) {
 	for id, n := range h[router] {
 		lost[id] += n
 	}
 	h[router] = map[string]int64{}
 }
 
-// noFaults are the parts of Sharer that a baseline has no use for.
+// noFaults implements the fault notifications of Allocator that the baselines ignore.
 type noFaults struct{}
 
 func (noFaults) Started(int) {}
 func (noFaults) Frozen(int)  {}
-func (noFaults) Woken(int)   {}
+func (noFaults) Resumed(int) {}
 
-// static gives every router an equal share of each budget, once.
+// static gives every router an equal share of each budget at the start.
 type static struct {
 	noFaults
-	w    *world
-	held held
+	w    *simulation
+	held balances
 	lost map[string]int64
 }
 
-// Static returns the policy of equal static shares.
-func Static(w *world) Sharer {
-	s := &static{w: w, held: newHeld(w.spec.Routers), lost: map[string]int64{}}
-	for i, limit := range w.spec.limits() {
-		s.split(budgetName(i), limit)
+// Static returns an allocator with equal static shares.
+func Static(w *simulation) Allocator {
+	s := &static{w: w, held: newBalances(w.scenario.Routers), lost: map[string]int64{}}
+	for i, limit := range w.scenario.limits() {
+		s.distribute(budgetName(i), limit)
 	}
 	return s
 }
 
-func (s *static) split(id string, tokens int64) {
+func (s *static) distribute(id string, tokens int64) {
 	n := int64(len(s.held))
 	for i := range s.held {
 		s.held[i][id] += tokens / n
@@ -70,7 +70,7 @@
 	s.held[0][id] += tokens % n
 }
 
-// Reserve implements Sharer.
+// Reserve implements Allocator.
 func (s *static) Reserve(router int, id string, need int64, done func(bool)) {
 	ok := s.held[router][id] >= need
 	if ok {
@@ -79,39 +79,40 @@
 	done(ok)
 }
 
-// Settle implements Sharer.
+// Settle implements Allocator.
 func (s *static) Settle(router int, id string, reserved, actual int64) {
 	s.held[router][id] += reserved - actual
 }
 
-// Killed implements Sharer.
-func (s *static) Killed(router int) { s.held.lose(router, s.lost) }
+// Killed implements Allocator.
+func (s *static) Killed(router int) { s.held.writeOff(router, s.lost) }
 
-// ToppedUp implements Sharer.
-func (s *static) ToppedUp(id string, tokens int64) { s.split(id, tokens) }
+// ToppedUp implements Allocator.
+func (s *static) ToppedUp(id string, tokens int64) { s.distribute(id, tokens) }
 
-// Where implements Sharer.
-func (s *static) Where(id string) Place { return s.held.where(s.w, id, 0, s.lost[id]) }
+// Locate implements Allocator.
+func (s *static) Locate(id string) Location { return s.held.locate(s.w, id, 0, s.lost[id]) }
 
-// bank is the store of the baselines that draw from it.
-type bank struct {
-	w    *world
+// storeBalances is the store of the baselines that draw tokens on demand.
+type storeBalances struct {
+	w    *simulation
 	free map[string]int64
 }
 
-func newBank(w *world) *bank {
-	b := &bank{w: w, free: map[string]int64{}}
-	for i, limit := range w.spec.limits() {
+func newStoreBalances(w *simulation) *storeBalances {
+	b := &storeBalances{w: w, free: map[string]int64{}}
+	for i, limit := range w.scenario.limits() {
 		b.free[budgetName(i)] = limit
 	}
 	return b
 }
 
-// draw takes at least need and at most want tokens, in one write.
-func (b *bank) draw(id string, need, want int64, done func(tokens int64)) {
+// draw takes at least need and, if that is more, up to want tokens in one store write,
+// and passes their number to done. It passes 0 if the store is down or has fewer than need.
+func (b *storeBalances) draw(id string, need, want int64, done func(tokens int64)) {
 	b.w.counts.Writes++
-	b.w.After(b.w.spec.StoreDelay, func() {
-		if b.w.down || b.free[id] < need {
+	b.w.After(b.w.scenario.StoreDelay, func() {
+		if b.w.storeDown || b.free[id] < need {
 			done(0)
 			return
 		}
@@ -121,29 +122,29 @@
 	})
 }
 
-// grantSize is the size of fixed grants, in tokens.
-const grantSize = 4000
+// grantTokens is the number of tokens in a fixed-size grant.
+const grantTokens = 4000
 
-// fixed lets every router draw grants of a fixed size from the store.
+// fixed has each router draw fixed-size grants from the store.
 type fixed struct {
 	noFaults
-	*bank
-	held held
+	*storeBalances
+	held balances
 	lost map[string]int64
 }
 
-// Fixed returns the policy of fixed-size grants.
-func Fixed(w *world) Sharer {
-	return &fixed{bank: newBank(w), held: newHeld(w.spec.Routers), lost: map[string]int64{}}
+// Fixed returns an allocator with fixed-size grants.
+func Fixed(w *simulation) Allocator {
+	return &fixed{storeBalances: newStoreBalances(w), held: newBalances(w.scenario.Routers), lost: map[string]int64{}}
 }
 
-// Reserve implements Sharer.
+// Reserve implements Allocator.
 func (f *fixed) Reserve(router int, id string, need int64, done func(bool)) {
 	if f.take(router, id, need) {
 		done(true)
 		return
 	}
-	f.draw(id, need, grantSize, func(tokens int64) {
+	f.draw(id, need, grantTokens, func(tokens int64) {
 		if f.w.killed[router] {
 			f.lost[id] += tokens
 			return
@@ -161,46 +162,47 @@
 	return true
 }
 
-// Settle implements Sharer.
+// Settle implements Allocator.
 func (f *fixed) Settle(router int, id string, reserved, actual int64) {
 	f.held[router][id] += reserved - actual
 }
 
-// Killed implements Sharer.
-func (f *fixed) Killed(router int) { f.held.lose(router, f.lost) }
+// Killed implements Allocator.
+func (f *fixed) Killed(router int) { f.held.writeOff(router, f.lost) }
 
-// ToppedUp implements Sharer.
+// ToppedUp implements Allocator.
 func (f *fixed) ToppedUp(id string, tokens int64) { f.free[id] += tokens }
 
-// Where implements Sharer.
-func (f *fixed) Where(id string) Place { return f.held.where(f.w, id, f.free[id], f.lost[id]) }
+// Locate implements Allocator.
+func (f *fixed) Locate(id string) Location { return f.held.locate(f.w, id, f.free[id], f.lost[id]) }
 
 const (
-	// homeMessage is the size of a message to or from a home, in bytes.
-	homeMessage = 90
-	// homeGrants is how many fixed grants a home draws at once.
+	// homeMessageBytes is the size of a message to or from a home router, in bytes.
+	homeMessageBytes = 90
+	// homeGrants is the number of fixed-size grants that a home router draws at once.
 	homeGrants = 4
-	shortPause = 100 * time.Millisecond
+	// emptyRetryDelay is the delay before a home router draws again after the store had too few tokens.
+	emptyRetryDelay = 100 * time.Millisecond
 )
 
-// home lets one router decide over each budget; every reservation and every
-// settlement is a message to it.
+// home assigns each budget to one router. Every reservation and settlement is a
+// message to that router.
 type home struct {
 	fixed
-	shortAt map[string]time.Time
+	emptySince map[string]time.Time
 }
 
-// Home returns the policy of one home router for each budget.
-func Home(w *world) Sharer {
+// Home returns an allocator with one home router for each budget.
+func Home(w *simulation) Allocator {
 	return &home{
-		fixed:   fixed{bank: newBank(w), held: newHeld(w.spec.Routers), lost: map[string]int64{}},
-		shortAt: map[string]time.Time{},
+		fixed:      fixed{storeBalances: newStoreBalances(w), held: newBalances(w.scenario.Routers), lost: map[string]int64{}},
+		emptySince: map[string]time.Time{},
 	}
 }
 
-// homeOf returns the first reachable router in the budget's order.
+// homeOf returns the first router in the budget's order that the given router can reach.
 func (h *home) homeOf(router int, id string) int {
-	n := h.w.spec.Routers
+	n := h.w.scenario.Routers
 	first := int(xxhash.Sum64String(id) % uint64(n))
 	for k := range n {
 		candidate := (first + k) % n
@@ -211,7 +213,7 @@
 	return router
 }
 
-// Reserve implements Sharer.
+// Reserve implements Allocator.
 func (h *home) Reserve(router int, id string, need int64, done func(bool)) {
 	at := h.homeOf(router, id)
 	h.message(router, at)
@@ -228,7 +230,7 @@
 		return
 	}
 	h.w.counts.Messages++
-	h.w.counts.Bytes += homeMessage
+	h.w.counts.Bytes += homeMessageBytes
 }
 
 func (h *home) decide(at int, id string, need int64, done func(bool)) {
@@ -236,20 +238,20 @@
 		done(true)
 		return
 	}
-	if h.w.Now.Sub(h.shortAt[id]) < shortPause {
+	if h.w.Now.Sub(h.emptySince[id]) < emptyRetryDelay {
 		done(false)
 		return
 	}
-	h.draw(id, need, homeGrants*grantSize, func(tokens int64) {
+	h.draw(id, need, homeGrants*grantTokens, func(tokens int64) {
 		if tokens == 0 {
-			h.shortAt[id] = h.w.Now
+			h.emptySince[id] = h.w.Now
 		}
 		h.held[at][id] += tokens
 		done(h.take(at, id, need))
 	})
 }
 
-// Settle implements Sharer.
+// Settle implements Allocator.
 func (h *home) Settle(router int, id string, reserved, actual int64) {
 	at := h.homeOf(router, id)
 	h.message(router, at)
--- a/lab/policy/scenario.go
+++ b/lab/policy/scenario.go
@@ -1,8 +1,9 @@
-// Package policy compares ways to share prepaid budgets out, on the real
-// decision code in virtual time, seeded, so that a run repeats exactly.
+// Package policy compares policies for distributing prepaid budgets among routers.
+// It simulates the production decision code in virtual time with seeded random
+// numbers, so that a run repeats exactly.
 //
-// It is a bench of decisions, with fakes at the interfaces: the store is a map
-// of pages behind a delay, and a message is an event.
+// Only decisions are simulated: the store is a map of pages with a delay, and a
+// message is an event.
 package policy
 
 import (
@@ -11,36 +12,37 @@
 	"time"
 )
 
-// Scenario is a seeded load with faults.
+// Scenario is a seeded load with injected faults.
 type Scenario struct {
 	Name    string
 	Seed    uint64
 	Routers int
 	Domains int
-	// OneWay is the delay between failure domains, StoreDelay that of a
-	// store call.
+	// OneWay is the one-way delay between failure domains, StoreDelay the latency
+	// of a store call.
 	OneWay, StoreDelay time.Duration
-	// PerSecond is the requests' rate over the fleet, Length the run's.
+	// PerSecond is the request rate of the fleet, Length the duration of the run.
 	PerSecond float64
 	Length    time.Duration
-	// Warm is left out of the traffic figures.
+	// Warm is the warm-up time, which the traffic figures exclude.
 	Warm time.Duration
-	// Budgets is their number; a few are large.
+	// Budgets is the number of budgets; their sizes follow a Zipf distribution.
 	Budgets int
 	// MinCap and MaxCap bound max_tokens.
 	MinCap, MaxCap int64
-	// PerToken is the time of one token.
+	// PerToken is the time to generate one token.
 	PerToken time.Duration
-	// Fill is each budget's limit as a share of its expected demand; below 1
+	// Fill is the limit of each budget as a share of its expected demand. Below 1
 	// the budgets run out.
 	Fill float64
-	// TopUp adds a share of the limit to the largest budget in mid-run.
+	// TopUp is the share of its limit that is added to the largest budget halfway
+	// through the run.
 	TopUp float64
-	// Faults are brought in.
+	// Faults are the faults to inject.
 	Faults []Fault
 	// Pages is the number of store objects that hold the budgets.
 	Pages int
-	// Hold is the homes' hold.
+	// Hold is the HomeHorizon of the budget agents.
 	Hold time.Duration
 }
 
@@ -49,17 +51,17 @@
 
 // The kinds of faults.
 const (
-	// Kill ends a router; it starts anew, with nothing, after Span.
+	// Kill kills a router. It restarts with empty state after Span.
 	Kill FaultKind = "kill"
 	// Freeze pauses a router for Span.
 	Freeze FaultKind = "freeze"
-	// Outage takes the store away for Span.
+	// Outage makes the store unavailable for Span.
 	Outage FaultKind = "outage"
-	// Cut parts the first failure domain from the others for Span.
-	Cut FaultKind = "cut"
+	// Partition partitions the first failure domain from the others for Span.
+	Partition FaultKind = "cut"
 )
 
-// Fault is one fault.
+// Fault is one fault to inject. Router applies to Kill and Freeze.
 type Fault struct {
 	Kind   FaultKind
 	At     time.Duration
@@ -68,15 +70,15 @@
 }
 
 const (
-	// stream separates these benches' random numbers from others of the seed.
+	// stream separates the random numbers of these benchmarks from others with the same seed.
 	stream     = 11
 	sameDomain = 200 * time.Microsecond
-	// zipf shapes the budgets' sizes: a few are large.
+	// zipf is the Zipf exponent of the budget sizes: a few budgets are large.
 	zipf = 1.1
 )
 
-// Base is the load of today's sizes, as the issue asks: 8 instances, 166
-// requests a second.
+// Base returns the load of the current fleet size: 8 instances, 166 requests per
+// second.
 func Base(domains int, oneWay time.Duration) Scenario {
 	return Scenario{
 		Name:       fmt.Sprintf("8 routers, %d domains", domains),
@@ -97,8 +99,8 @@
 	}
 }
 
-// WithFaults adds the fault mix: a kill, a freeze, an outage and a cut, the
-// later ones when budgets are near their end.
+// WithFaults adds the fault mix: kills, a freeze, a store outage and a network
+// partition. The later ones happen when budgets are nearly exhausted.
 func (s Scenario) WithFaults() Scenario {
 	s.Name += ", faults"
 	s.TopUp = 0.05
@@ -106,7 +108,7 @@
 		{Kind: Kill, At: 40 * time.Second, Span: 5 * time.Second, Router: 3},
 		{Kind: Freeze, At: 70 * time.Second, Span: 8 * time.Second, Router: 5},
 		{Kind: Outage, At: 95 * time.Second, Span: 3 * time.Second},
-		{Kind: Cut, At: 120 * time.Second, Span: 20 * time.Second},
+		{Kind: Partition, At: 120 * time.Second, Span: 20 * time.Second},
 		{Kind: Kill, At: 170 * time.Second, Span: 5 * time.Second, Router: 1},
 	}
 	return s
@@ -126,7 +128,7 @@
 	return w
 }
 
-// limits returns each budget's prepaid tokens: its share of the expected
+// limits returns the prepaid tokens of each budget: its share of the expected
 // demand times Fill.
 func (s Scenario) limits() []int64 {
 	meanCost := float64(s.MinCap+s.MaxCap) / 2 * meanUse
--- a/lab/policy/world.go
+++ b/lab/policy/world.go
@@ -8,31 +8,33 @@
 	"github.com/gaplink/gaplink/lab/vtime"
 )
 
-// Sharer is one way to share budgets out. All calls are in virtual time.
-type Sharer interface {
-	// Reserve asks for tokens at a router; done is called once.
+// Allocator is a policy for distributing budgets among routers. All calls are in
+// virtual time.
+type Allocator interface {
+	// Reserve requests tokens at a router and calls done once with the decision. A
+	// router that is killed before may never call done.
 	Reserve(router int, id string, need int64, done func(ok bool))
-	// Settle ends a reservation.
-	Settle(router int, id string, reserved, actual int64)
-	// Killed, Started, Frozen and Woken tell of a router's faults.
+	// Settle replaces a reservation by the actual cost.
+	Settle(router int, id string, reserved, eventualCost int64)
+	// Killed, Started, Frozen and Resumed report faults of a router.
 	Killed(router int)
 	Started(router int)
 	Frozen(router int)
-	Woken(router int)
-	// ToppedUp tells that a limit has risen in the store.
+	Resumed(router int)
+	// ToppedUp reports that a limit has been raised in the store.
 	ToppedUp(id string, tokens int64)
-	// Where tells where the unspent tokens of a budget are.
-	Where(id string) Place
+	// Locate returns the location of the unspent tokens of a budget.
+	Locate(id string) Location
 }
 
-// Place is where a budget's unspent, unreserved tokens are.
-type Place struct {
-	// Store can still be issued, Routers are with live routers, Dead with
-	// killed or frozen ones, Moving on the way.
+// Location counts the unspent, unreserved tokens of a budget by location.
+type Location struct {
+	// Store can still be issued, Routers are held by live routers, Dead by killed
+	// or frozen routers, and Moving are in transit.
 	Store, Routers, Dead, Moving int64
 }
 
-// Counts are the traffic of a run.
+// Counts is the traffic of a run: store reads and writes, messages and their bytes.
 type Counts struct {
 	Reads, Writes, Messages, Bytes int64
 }
@@ -51,49 +53,49 @@
 	finished bool
 }
 
-// account is the truth about one budget, with perfect knowledge.
-type account struct {
+// budgetState is the actual state of one budget, independent of what the routers know.
+type budgetState struct {
 	limit    int64
 	spent    int64
-	worst    int64 // of requests in flight
-	actual   int64 // what they will have cost
+	reserved int64 // worst-case cost of the requests in flight
+	actual   int64 // actual cost of the requests in flight, once they finish
 	requests int
 	refused  int
 }
 
-// world runs one scenario on one sharer.
-type world struct {
+// simulation simulates one scenario with one allocator.
+type simulation struct {
 	*vtime.Sim
-	spec     Scenario
-	sharer   Sharer
-	counts   Counts
-	books    map[string]*account
-	down     bool // the store
-	cut      bool
-	killed   []bool
-	frozen   []bool
-	parked   [][]func() // what a frozen router does when it wakes
-	running  []map[*request]bool
-	extra    map[string]int64 // charged for dead attempts that no engine knows
-	measured int              // requests after the warm-up
-	result   Result
-	waits    []time.Duration
+	scenario    Scenario
+	allocator   Allocator
+	counts      Counts
+	budgets     map[string]*budgetState
+	storeDown   bool // the store
+	partitioned bool
+	killed      []bool
+	frozen      []bool
+	deferred    [][]func() // calls that run when a frozen router resumes
+	running     []map[*request]bool
+	unresolved  map[string]int64 // charged for attempts of killed routers that no backend server has seen
+	measured    int              // requests after the warm-up
+	result      Result
+	waits       []time.Duration
 }
 
-func newWorld(spec Scenario) *world {
-	w := &world{
-		Sim:     vtime.New(spec.Seed, stream),
-		spec:    spec,
-		books:   map[string]*account{},
-		extra:   map[string]int64{},
-		killed:  make([]bool, spec.Routers),
-		frozen:  make([]bool, spec.Routers),
-		parked:  make([][]func(), spec.Routers),
-		running: make([]map[*request]bool, spec.Routers),
-		result:  Result{Scenario: spec.Name, Causes: map[string]int{}},
+func newSimulation(spec Scenario) *simulation {
+	w := &simulation{
+		Sim:        vtime.New(spec.Seed, stream),
+		scenario:   spec,
+		budgets:    map[string]*budgetState{},
+		unresolved: map[string]int64{},
+		killed:     make([]bool, spec.Routers),
+		frozen:     make([]bool, spec.Routers),
+		deferred:   make([][]func(), spec.Routers),
+		running:    make([]map[*request]bool, spec.Routers),
+		result:     Result{Scenario: spec.Name, Causes: map[string]int{}},
 	}
 	for i, limit := range spec.limits() {
-		w.books[budgetName(i)] = &account{limit: limit}
+		w.budgets[budgetName(i)] = &budgetState{limit: limit}
 	}
 	for i := range w.running {
 		w.running[i] = map[*request]bool{}
@@ -101,32 +103,32 @@
 	return w
 }
 
-// Run runs a scenario on a sharer made by the given function.
-func Run(spec Scenario, name string, make func(*world) Sharer) Result {
-	w := newWorld(spec)
-	w.sharer = make(w)
+// Run runs a scenario with the allocator that make returns.
+func Run(scenario Scenario, name string, make func(*simulation) Allocator) Result {
+	w := newSimulation(scenario)
+	w.allocator = make(w)
 	w.result.Policy = name
 	begin := w.Now
-	w.arrivals(begin.Add(spec.Length))
+	w.arrivals(begin.Add(scenario.Length))
 	w.faults()
-	w.Run(begin.Add(spec.Warm))
+	w.Run(begin.Add(scenario.Warm))
 	warm, requests := w.counts, w.result.Requests
-	w.Run(begin.Add(spec.Length))
+	w.Run(begin.Add(scenario.Length))
 	w.counts = w.counts.minus(warm)
 	w.measured = w.result.Requests - requests
 	return w.report()
 }
 
 // arrivals schedules the load.
-func (w *world) arrivals(until time.Time) {
-	weights := w.spec.weights()
+func (w *simulation) arrivals(until time.Time) {
+	weights := w.scenario.weights()
 	sums := make([]float64, len(weights))
 	sum := 0.0
 	for i, v := range weights {
 		sum += v
 		sums[i] = sum
 	}
-	mean := time.Duration(float64(time.Second) / w.spec.PerSecond)
+	mean := time.Duration(float64(time.Second) / w.scenario.PerSecond)
 	var next func()
 	next = func() {
 		if w.Now.After(until) {
@@ -139,40 +141,41 @@
 	w.After(w.Exponential(mean), next)
 }
 
-// arrive sends a request to a router that the balancer takes for alive.
-func (w *world) arrive(id string) {
-	limit := w.spec.MinCap + w.Rng.Int64N(w.spec.MaxCap-w.spec.MinCap+1)
+// arrive sends a request to a random router that is neither killed nor frozen, as a
+// load balancer does.
+func (w *simulation) arrive(id string) {
+	limit := w.scenario.MinCap + w.Rng.Int64N(w.scenario.MaxCap-w.scenario.MinCap+1)
 	use := minUse + w.Rng.Float64()*(maxUse-minUse)
 	r := &request{
-		router: w.Rng.IntN(w.spec.Routers),
+		router: w.Rng.IntN(w.scenario.Routers),
 		id:     id,
 		cap:    limit,
 		cost:   max(int64(float64(limit)*use), 1),
 		began:  w.Now,
 	}
 	for w.killed[r.router] || w.frozen[r.router] {
-		r.router = (r.router + 1) % w.spec.Routers
+		r.router = (r.router + 1) % w.scenario.Routers
 	}
 	w.result.Requests++
-	w.books[id].requests++
-	w.sharer.Reserve(r.router, id, r.cap, func(ok bool) { w.decided(r, ok) })
+	w.budgets[id].requests++
+	w.allocator.Reserve(r.router, id, r.cap, func(ok bool) { w.decided(r, ok) })
 }
 
-func (w *world) decided(r *request, ok bool) {
+func (w *simulation) decided(r *request, ok bool) {
 	w.waits = append(w.waits, w.Now.Sub(r.began))
 	if !ok {
 		w.refused(r)
 		return
 	}
-	b := w.books[r.id]
-	b.worst += r.cap
+	b := w.budgets[r.id]
+	b.reserved += r.cap
 	b.actual += r.cost
 	w.running[r.router][r] = true
-	w.After(time.Duration(r.cost)*w.spec.PerToken, func() { w.finish(r) })
+	w.After(time.Duration(r.cost)*w.scenario.PerToken, func() { w.finish(r) })
 }
 
-// finish ends a request. A frozen router settles when it wakes.
-func (w *world) finish(r *request) {
+// finish ends a request. A frozen router settles it after it resumes.
+func (w *simulation) finish(r *request) {
 	if r.finished {
 		return
 	}
@@ -180,34 +183,35 @@
 	w.charge(r, r.cost)
 	delete(w.running[r.router], r)
 	router := r.router
-	settle := func() { w.sharer.Settle(router, r.id, r.cap, r.cost) }
-	w.onRouter(router, settle)
+	settle := func() { w.allocator.Settle(router, r.id, r.cap, r.cost) }
+	w.runOnRouter(router, settle)
 }
 
-// charge books what a request cost.
-func (w *world) charge(r *request, tokens int64) {
-	b := w.books[r.id]
-	b.worst -= r.cap
+// charge records the cost of a request.
+func (w *simulation) charge(r *request, tokens int64) {
+	b := w.budgets[r.id]
+	b.reserved -= r.cap
 	b.actual -= r.cost
 	b.spent += tokens
 	w.result.Overspend = max(w.result.Overspend, b.spent-b.limit)
 }
 
-// onRouter does something at a router, or when it wakes if it is frozen.
-func (w *world) onRouter(router int, do func()) {
+// runOnRouter calls do now, or once the router resumes if it is frozen.
+func (w *simulation) runOnRouter(router int, do func()) {
 	if w.frozen[router] {
-		w.parked[router] = append(w.parked[router], do)
+		w.deferred[router] = append(w.deferred[router], do)
 		return
 	}
 	do()
 }
 
-// refused decides whether a refusal was false, and why.
-func (w *world) refused(r *request) {
-	b := w.books[r.id]
+// refused counts a refusal and, if the budget could have covered the request, the
+// cause.
+func (w *simulation) refused(r *request) {
+	b := w.budgets[r.id]
 	b.refused++
 	w.result.Refused++
-	rest := b.limit - b.spent - b.worst
+	rest := b.limit - b.spent - b.reserved
 	if b.limit-b.spent-b.actual >= r.cap {
 		w.result.FalseStrict++
 	}
@@ -218,15 +222,15 @@
 	w.result.Causes[w.cause(r, rest)]++
 }
 
-// cause names what kept the remaining tokens from the request.
-func (w *world) cause(r *request, rest int64) string {
-	p := w.sharer.Where(r.id)
+// cause returns why the remaining tokens were not available to the request.
+func (w *simulation) cause(r *request, rest int64) string {
+	p := w.allocator.Locate(r.id)
 	switch {
 	case rest-p.Dead < r.cap:
 		return "with a dead or frozen router"
-	case w.cut:
+	case w.partitioned:
 		return "cut"
-	case w.down:
+	case w.storeDown:
 		return "store out"
 	case rest-p.Dead-p.Moving < r.cap:
 		return "in transit"
@@ -239,96 +243,96 @@
 	}
 }
 
-func (w *world) faults() {
-	for _, f := range w.spec.Faults {
+func (w *simulation) faults() {
+	for _, f := range w.scenario.Faults {
 		w.After(f.At, func() { w.fault(f) })
 	}
-	if w.spec.TopUp > 0 {
-		w.After(w.spec.Length/2, w.topUp)
+	if w.scenario.TopUp > 0 {
+		w.After(w.scenario.Length/2, w.topUp)
 	}
 }
 
-func (w *world) topUp() {
+func (w *simulation) topUp() {
 	id := budgetName(0)
-	tokens := int64(float64(w.books[id].limit) * w.spec.TopUp)
-	w.books[id].limit += tokens
-	w.sharer.ToppedUp(id, tokens)
+	tokens := int64(float64(w.budgets[id].limit) * w.scenario.TopUp)
+	w.budgets[id].limit += tokens
+	w.allocator.ToppedUp(id, tokens)
 }
 
-func (w *world) fault(f Fault) {
+func (w *simulation) fault(f Fault) {
 	switch f.Kind {
 	case Kill:
 		w.kill(f.Router)
 		w.After(f.Span, func() {
 			w.killed[f.Router] = false
-			w.sharer.Started(f.Router)
+			w.allocator.Started(f.Router)
 		})
 	case Freeze:
 		w.frozen[f.Router] = true
-		w.sharer.Frozen(f.Router)
-		w.After(f.Span, func() { w.wake(f.Router) })
+		w.allocator.Frozen(f.Router)
+		w.After(f.Span, func() { w.resume(f.Router) })
 	case Outage:
-		w.down = true
-		w.After(f.Span, func() { w.down = false })
-	case Cut:
-		w.cut = true
-		w.After(f.Span, func() { w.cut = false })
+		w.storeDown = true
+		w.After(f.Span, func() { w.storeDown = false })
+	case Partition:
+		w.partitioned = true
+		w.After(f.Span, func() { w.partitioned = false })
 	}
 }
 
 // dispatchTime is the time from a reservation until a backend server knows the
-// request. What a router killed in between had reserved stays charged at its
-// worst case, since no engine can tell what became of it.
+// request. If the router is killed in between, the reservation stays charged at
+// its worst case, since no backend server can report the outcome.
 const dispatchTime = 2 * time.Millisecond
 
-// kill ends a router. What its requests were served so far is spent.
-func (w *world) kill(router int) {
+// kill kills a router. The tokens served to its requests so far are spent.
+func (w *simulation) kill(router int) {
 	for r := range w.running[router] {
 		r.finished = true
-		served := int64(w.Now.Sub(r.began) / w.spec.PerToken)
+		served := int64(w.Now.Sub(r.began) / w.scenario.PerToken)
 		w.charge(r, min(served, r.cost))
 		if w.Now.Sub(r.began) < dispatchTime {
-			w.extra[r.id] += r.cap - served
+			w.unresolved[r.id] += r.cap - served
 		}
 	}
 	w.running[router] = map[*request]bool{}
 	w.killed[router] = true
-	w.parked[router] = nil
-	w.sharer.Killed(router)
+	w.deferred[router] = nil
+	w.allocator.Killed(router)
 }
 
-func (w *world) wake(router int) {
+func (w *simulation) resume(router int) {
 	w.frozen[router] = false
-	w.sharer.Woken(router)
-	parked := w.parked[router]
-	w.parked[router] = nil
-	for _, do := range parked {
+	w.allocator.Resumed(router)
+	deferred := w.deferred[router]
+	w.deferred[router] = nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
 // domain returns a router's failure domain.
-func (w *world) domain(router int) int { return router % w.spec.Domains }
+func (w *simulation) domain(router int) int { return router % w.scenario.Domains }
 
-// reaches tells whether two routers reach each other.
-func (w *world) reaches(a, b int) bool {
-	return !w.cut || (w.domain(a) == 0) == (w.domain(b) == 0)
+// reaches reports whether two routers can reach each other.
+func (w *simulation) reaches(a, b int) bool {
+	return !w.partitioned || (w.domain(a) == 0) == (w.domain(b) == 0)
 }
 
 // delay is the one-way delay between two routers.
-func (w *world) delay(a, b int) time.Duration {
+func (w *simulation) delay(a, b int) time.Duration {
 	if w.domain(a) == w.domain(b) {
 		return sameDomain
 	}
-	return w.spec.OneWay
+	return w.scenario.OneWay
 }
 
-// limitsPage builds the store's pages.
-func (w *world) limitsPages() map[int]*budget.Page {
+// limitsPages returns the initial pages of the store.
+func (w *simulation) limitsPages() map[int]*budget.Page {
 	pages := map[int]*budget.Page{}
-	for i, limit := range w.spec.limits() {
+	for i, limit := range w.scenario.limits() {
 		id := budgetName(i)
-		n := budget.PageOf(id, w.spec.Pages)
+		n := budget.PageOf(id, w.scenario.Pages)
 		if pages[n] == nil {
 			pages[n] = budget.NewPage()
 		}
