--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -13,9 +13,9 @@
 	"github.com/gaplink/gaplink/lab/account"
 )
 
-// fleet are logs of two routers: the store is empty from 4 s on, a loses what it held at 5 s, and
-// requests are refused before and after.
-const fleet = `built in 3 s
+// fleetLogs contains the logs of two routers: the store is empty from 4 s on, a loses its tokens in a
+// restart at 5 s, and requests are refused before and after.
+const fleetLogs = `built in 3 s
   -1.0000 a {"level":"info","ts":"2026-01-01T00:00:00Z","msg":"started","instance":"a"}
   -0.9000 b {"level":"info","ts":"2026-01-01T00:00:00.1Z","msg":"started","instance":"b"}
    1.0000 a {"level":"info","ts":"2026-01-01T00:00:02Z","msg":"budget page written","version":2,"budgets":"acme=300+100/600/1000 other=0+0/50/50 "}
@@ -43,13 +43,13 @@
 }
 
 func TestRefusalsByReason(t *testing.T) {
-	all := read(t, fleet).Refusals()
+	all := read(t, fleetLogs).Refusals()
 	if len(all) != 3 {
 		t.Fatalf("%d reasons: %+v", len(all), all)
 	}
 	want := account.Refusal{
 		Name: "BudgetExhausted", Cause: "budget … cannot cover the request", Count: 2,
-		First: 2500 * time.Millisecond, Last: 6500 * time.Millisecond, Median: 6 * time.Millisecond,
+		First: 2500 * time.Millisecond, Last: 6500 * time.Millisecond, MedianDuration: 6 * time.Millisecond,
 		Router: "a", AtRouter: 1,
 	}
 	if all[0] != want {
@@ -57,10 +57,10 @@
 	}
 }
 
-// Guards against tokens that are counted at a process which has ended, and against a store that
-// counts as empty before it stays so.
-func TestTokensByPlace(t *testing.T) {
-	all := read(t, fleet).Tokens()
+// Guards against counting tokens of a process that has ended, and against reporting the store as
+// empty from a time after which it still had tokens.
+func TestTokensByLocation(t *testing.T) {
+	all := read(t, fleetLogs).Tokens()
 	if len(all) != 2 || all[0].Account != "acme" || all[1].Account != "other" {
 		t.Fatalf("%+v", all)
 	}
@@ -72,36 +72,36 @@
 		{At: 6 * time.Second, Free: 0, Held: 500, Reserved: 20, Limit: 1000},
 	}
 	for i, at := range want {
-		if acme.Course[i] != at {
-			t.Errorf("got %+v, want %+v", acme.Course[i], at)
+		if acme.History[i] != at {
+			t.Errorf("got %+v, want %+v", acme.History[i], at)
 		}
 	}
-	if n := acme.Course[3].Elsewhere(); n != 480 {
+	if n := acme.History[3].Elsewhere(); n != 480 {
 		t.Errorf("%d tokens elsewhere", n)
 	}
-	if acme.Emptied != 4*time.Second || acme.Exhausted != 2 || acme.Early != 1 || acme.Unreachable != 1 {
-		t.Errorf("emptied at %v; %d exhausted, %d early, %d unreachable", acme.Emptied, acme.Exhausted, acme.Early, acme.Unreachable)
+	if acme.EmptySince != 4*time.Second || acme.Exhausted != 2 || acme.Early != 1 || acme.Unreachable != 1 {
+		t.Errorf("empty since %v; %d exhausted, %d early, %d unreachable", acme.EmptySince, acme.Exhausted, acme.Early, acme.Unreachable)
 	}
-	if all[1].Emptied >= 0 {
-		t.Error("a full budget counts as empty")
+	if all[1].EmptySince >= 0 {
+		t.Error("an untouched budget is reported as empty")
 	}
 }
 
-func TestRoutersInTrouble(t *testing.T) {
-	all := read(t, fleet).Routers()
-	if len(all) != 2 || all[0] != (account.Router{Name: "b", Starts: 1, Full: 1, Behind: 1}) || all[1].Starts != 2 {
+func TestRouterProblems(t *testing.T) {
+	all := read(t, fleetLogs).Routers()
+	if len(all) != 2 || all[0] != (account.Router{Name: "b", Starts: 1, LinkLoadChanges: 1, RefusedStale: 1}) || all[1].Starts != 2 {
 		t.Errorf("%+v", all)
 	}
 }
 
 func TestRefusalsPerSecond(t *testing.T) {
-	first, byName := read(t, fleet).PerSecond()
+	first, byName := read(t, fleetLogs).PerSecond()
 	if first != 2 || len(byName["BudgetExhausted"]) != 5 || byName["BudgetExhausted"][0] != 1 || byName["BudgetExhausted"][4] != 1 {
 		t.Errorf("from second %d: %v", first, byName)
 	}
 }
 
-// Guards against a run of a single router, whose log has no prefix, that is taken for none.
+// Guards against rejecting the log of a single router, which has no prefix.
 func TestLogOfOneRouter(t *testing.T) {
 	run := read(t, `{"level":"info","ts":"2026-01-01T00:00:00Z","msg":"started","instance":"a"}
 {"level":"info","ts":"2026-01-01T00:00:01.5Z","msg":"request NotAccepted","cause":"3004 NotAccepted: the router is behind"}
@@ -111,43 +111,43 @@
 	}
 }
 
-// Guards against files that are taken for a run although they are none, or a part of one.
-func TestFilesThatAreNoRun(t *testing.T) {
+// Guards against accepting files that are not the logs of a run, or that are truncated.
+func TestInvalidFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want error
 	}{
-		"empty":          {"", account.ErrForeign},
-		"prose":          {"a report\nof something else\n", account.ErrForeign},
-		"other objects":  {"{\"a\":1}\n{\"b\":2}\n", account.ErrForeign},
-		"cut off":        {fleet[:strings.Index(fleet, `"msg":"link load"`)], account.ErrCut},
-		"cut in one log": {`{"level":"info","ts":"2026-01-01T00:00:00Z","msg":"star`, account.ErrCut},
+		"empty":          {"", account.ErrNoLogLine},
+		"prose":          {"a report\nof something else\n", account.ErrNoLogLine},
+		"other objects":  {"{\"a\":1}\n{\"b\":2}\n", account.ErrNoLogLine},
+		"cut off":        {fleetLogs[:strings.Index(fleetLogs, `"msg":"link load"`)], account.ErrTruncated},
+		"cut in one log": {`{"level":"info","ts":"2026-01-01T00:00:00Z","msg":"star`, account.ErrTruncated},
 	} {
 		if _, err := account.Read(strings.NewReader(c.text)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
 	}
 	if _, err := account.Read(strings.NewReader(strings.Repeat("x", 5<<20))); err == nil {
-		t.Error("a line of 5 MB is read")
+		t.Error("Read accepted a line of 5 MB")
 	}
 	far := "   1.0 a {\"msg\":\"request NotAccepted\"}\n999999999999 a {\"msg\":\"request NotAccepted\"}\n"
 	if _, byName := read(t, far).PerSecond(); len(byName["NotAccepted"]) != 1 {
 		t.Errorf("a run of %d seconds", len(byName["NotAccepted"]))
 	}
-	merged := strings.Replace(fleet, `"msg":"request OK","account"`, `"msg":"requ{"level":"info`, 1)
+	merged := strings.Replace(fleetLogs, `"msg":"request OK","account"`, `"msg":"requ{"level":"info`, 1)
 	run := read(t, merged)
 	if run.Unreadable != 1 || len(run.Requests) != 4 {
 		t.Errorf("%d unreadable lines, %d requests", run.Unreadable, len(run.Requests))
 	}
 }
 
-// Every cut of a fleet's logs is read as what stands before it, or is an error.
-func TestEveryCut(t *testing.T) {
-	whole := len(read(t, fleet).Requests)
-	for n := range len(fleet) {
-		run, err := account.Read(strings.NewReader(fleet[:n]))
+// Logs that are truncated at any byte yield at most the complete lines, or an error.
+func TestTruncatedLogs(t *testing.T) {
+	whole := len(read(t, fleetLogs).Requests)
+	for n := range len(fleetLogs) {
+		run, err := account.Read(strings.NewReader(fleetLogs[:n]))
 		switch {
-		case err != nil && !errors.Is(err, account.ErrCut) && !errors.Is(err, account.ErrForeign):
+		case err != nil && !errors.Is(err, account.ErrTruncated) && !errors.Is(err, account.ErrNoLogLine):
 			t.Fatalf("cut at %d: %v", n, err)
 		case err == nil && len(run.Requests) > whole:
 			t.Fatalf("cut at %d: %d requests of %d", n, len(run.Requests), whole)
@@ -156,7 +156,7 @@
 }
 
 func TestTablesAndPlots(t *testing.T) {
-	run := read(t, fleet)
+	run := read(t, fleetLogs)
 	var out bytes.Buffer
 	if err := run.WriteTables(&out); err != nil {
 		t.Fatal(err)
@@ -176,16 +176,16 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if err := plot(filepath.Join(dir, name+".unknown")); err == nil {
-			t.Errorf("%s: a format that is not known is written", name)
+			t.Errorf("%s: writing an unknown format succeeded", name)
 		}
 		if err := plot(filepath.Join(dir, "no", "such", "folder.png")); err == nil {
-			t.Errorf("%s: a folder that is not there is written to", name)
+			t.Errorf("%s: writing to a missing directory succeeded", name)
 		}
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(fleet))
+	f.Add([]byte(fleetLogs))
 	f.Add([]byte("1.0 a {}\n"))
 	f.Add([]byte(`9e999 a {"msg":"x"}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -200,7 +200,7 @@
 }
 
 func BenchmarkRead(b *testing.B) {
-	line := strings.Split(fleet, "\n")[4] + "\n"
+	line := strings.Split(fleetLogs, "\n")[4] + "\n"
 	text := strings.Repeat(line, 10_000)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
--- a/lab/account/plot.go
+++ b/lab/account/plot.go
@@ -11,17 +11,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// curves is how many curves a plot has at the most.
-const curves = 6
+// maxCurves is the maximum number of curves in a plot.
+const maxCurves = 6
 
-// size of a plot.
+// Size of a plot.
 const (
 	width  = 24 * vg.Centimeter
 	height = 12 * vg.Centimeter
 )
 
-// PlotRefusals writes a plot of the requests refused in each second, by result, to a file whose
-// name says the format (.png, .svg).
+// PlotRefusals writes a plot of the refused requests per second, by result code, to a file. The
+// extension of the file selects the format (.png, .svg).
 func (r *Run) PlotRefusals(file string) error {
 	p := plot.New()
 	p.Title.Text = "Requests that were not served"
@@ -39,7 +39,7 @@
 	return save(p, file, lines)
 }
 
-// mostFrequent returns the results with the most requests.
+// mostFrequent returns the names of the result codes with the most requests.
 func mostFrequent(byName map[string][]int) []string {
 	sum := func(list []int) (n int) {
 		for _, each := range list {
@@ -54,11 +54,11 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(sum(byName[b]), sum(byName[a])), cmp.Compare(a, b))
 	})
-	return names[:min(len(names), curves)]
+	return names[:min(len(names), maxCurves)]
 }
 
-// PlotTokens writes a plot of what the store had left of the budgets for which most requests were
-// refused, to a file whose name says the format.
+// PlotTokens writes a plot of the tokens left in the store, for the budgets with the most refused
+// requests, to a file. The extension of the file selects the format.
 func (r *Run) PlotTokens(file string) error {
 	p := plot.New()
 	p.Title.Text = "Tokens left in the store"
@@ -66,10 +66,10 @@
 	p.Y.Label.Text = "part of the budget"
 	p.Y.Min, p.Y.Max = 0, 1
 	var lines []any
-	accounts := mostRefused(r.Tokens())
-	for _, a := range accounts[:min(len(accounts), curves)] {
+	accounts := sortByRefusals(r.Tokens())
+	for _, a := range accounts[:min(len(accounts), maxCurves)] {
 		var points plotter.XYs
-		for _, t := range a.Course {
+		for _, t := range a.History {
 			if t.Limit > 0 {
 				points = append(points, plotter.XY{X: t.At.Seconds(), Y: float64(t.Free) / float64(t.Limit)})
 			}
--- a/lab/account/read.go
+++ b/lab/account/read.go
@@ -1,5 +1,5 @@
-// Package account explains a run of a router fleet from its logs: which requests were refused and
-// why, where the tokens of each client account were, and which routers were overloaded.
+// Package account analyzes the logs of a router fleet's run: which requests were refused and why,
+// where the tokens of each client account were, and which routers were overloaded.
 package account
 
 import (
@@ -17,40 +17,41 @@
 
 // Errors of Read.
 var (
-	// ErrForeign is a file without a log line of a router.
-	ErrForeign = errors.New("no log line of a router")
-	// ErrCut is a file that ends within a log line.
-	ErrCut = errors.New("the file ends within a log line")
+	// ErrNoLogLine is returned for a file without any log line of a router.
+	ErrNoLogLine = errors.New("no log line of a router")
+	// ErrTruncated is returned for a file that ends within a log line.
+	ErrTruncated = errors.New("the file ends within a log line")
 )
 
 const (
-	// maxLine bounds a line, in bytes.
+	// maxLine is the maximum length of a line, in bytes.
 	maxLine = 4 << 20
-	// maxRun bounds the time of a line, from the begin of the run either way.
+	// maxRun is the maximum distance of a line's time from the start of the run, before or after.
 	maxRun = 24 * time.Hour
 )
 
-// Request is the log line of a request that has ended.
+// Request is the log line of a finished request.
 type Request struct {
-	// At is when it ended, counted from the begin of the run, and Router where.
+	// At is the time since the start of the run at which it ended, and Router the router's instance.
 	At     time.Duration
 	Router string
-	// Name is the name of its result code, "OK" for a request that was served.
+	// Name is the name of its result code, "OK" for a served request.
 	Name    string
 	Account string
-	// Cause is the reason in words, without ids and numbers.
+	// Cause is the text of the reason, without ids and numbers.
 	Cause string
-	// After is the time that it took.
+	// After is its duration.
 	After time.Duration
-	// Spent is the number of tokens that it was charged.
+	// Spent is the number of tokens charged for it.
 	Spent int64
 }
 
-// Balance is what the log line of a written budgets page says of one account, in tokens.
+// Balance is the state of one account in the log line of a written budgets page, in tokens.
 type Balance struct {
-	// Held is free at the writing router, Reserved is set aside there for running requests.
+	// Held is unreserved at the router that wrote the page, Reserved is reserved there for running
+	// requests.
 	Held, Reserved int64
-	// Free is left in the store, and Limit is the account's budget.
+	// Free is left in the store, and Limit is the budget of the account.
 	Free, Limit int64
 }
 
@@ -69,7 +70,7 @@
 	Message string
 }
 
-// Run is what the logs of a run hold.
+// Run is the content of the logs of a run.
 type Run struct {
 	Requests []Request
 	Pages    []Page
@@ -92,12 +93,13 @@
 	Budgets  string  `json:"budgets"`
 }
 
-// prefix is what a collector of the logs of a fleet puts before each line: the time in seconds and
+// prefix matches what the log collector of a fleet puts before each line: the time in seconds and
 // the router's instance.
 var prefix = regexp.MustCompile(`^\s*(-?\d+(?:\.\d+)?)\s+(\S+)\s+$`)
 
-// Read reads the logs of one router, as it writes them, or of a fleet, with a prefix of seconds and
-// instance before each line. Lines without a JSON object are skipped.
+// Read parses the logs of one router as it writes them, or of a fleet with a prefix of seconds and
+// instance before each line. It skips lines without a JSON object. It returns ErrNoLogLine if no line
+// is a router's, and ErrTruncated if the last line is incomplete.
 func Read(in io.Reader) (*Run, error) {
 	r := &reader{run: &Run{}}
 	lines := bufio.NewReaderSize(in, 64<<10)
@@ -107,30 +109,30 @@
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
 		ended := errors.Is(err, io.EOF)
-		if !r.take(text) && ended && text != "" {
-			return nil, fmt.Errorf("line %d: %w", n, ErrCut)
+		if !r.parseLine(text) && ended && text != "" {
+			return nil, fmt.Errorf("line %d: %w", n, ErrTruncated)
 		}
 		if ended {
 			break
 		}
 	}
-	if r.taken == 0 {
-		return nil, ErrForeign
+	if r.lines == 0 {
+		return nil, ErrNoLogLine
 	}
 	return r.run, nil
 }
 
-// errLong is a line beyond maxLine.
-var errLong = errors.New("the line is too long")
+// errLineTooLong is returned for a line longer than maxLine.
+var errLineTooLong = errors.New("the line is too long")
 
-// readLine returns the next line without its end. The last one comes with io.EOF.
+// readLine returns the next line without its line ending. It returns the last line with io.EOF.
 func readLine(in *bufio.Reader) (string, error) {
 	var b strings.Builder
 	for {
 		part, err := in.ReadSlice('\n')
 		b.Write(part)
 		if b.Len() > maxLine {
-			return "", errLong
+			return "", errLineTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -139,17 +141,17 @@
 	}
 }
 
-// reader collects the lines of a run.
+// reader collects the parsed lines of a run.
 type reader struct {
 	run   *Run
-	taken int
-	// router and began are those of logs without a prefix.
+	lines int
+	// router and began are the instance and the first time of logs without a prefix.
 	router string
 	began  time.Time
 }
 
-// take takes a line; false: it looks like a log line and is not readable.
-func (r *reader) take(text string) bool {
+// parseLine parses a line. It returns false if the line looks like a log line but cannot be parsed.
+func (r *reader) parseLine(text string) bool {
 	head, object, found := strings.Cut(text, "{")
 	if !found {
 		return true
@@ -158,7 +160,7 @@
 	var router string
 	prefixed := prefix.FindStringSubmatch(head)
 	if prefixed == nil && strings.TrimSpace(head) != "" {
-		return true // the text of another program
+		return true // output of another program
 	}
 	var l line
 	if err := json.Unmarshal([]byte("{"+object), &l); err != nil {
@@ -176,19 +178,19 @@
 		}
 		at, router = time.Duration(seconds*float64(time.Second)), prefixed[2]
 	} else {
-		at, router = r.single(l)
+		at, router = r.unprefixed(l)
 	}
 	if at.Abs() > maxRun {
 		r.run.Unreadable++
 		return false
 	}
-	r.taken++
+	r.lines++
 	r.add(at, router, l)
 	return true
 }
 
-// single returns the time and the instance of a line of one router's own logs.
-func (r *reader) single(l line) (time.Duration, string) {
+// unprefixed returns the time and the instance of a line without a prefix.
+func (r *reader) unprefixed(l line) (time.Duration, string) {
 	if l.Instance != "" {
 		r.router = l.Instance
 	}
@@ -212,16 +214,16 @@
 	}
 }
 
-// named matches words with digits, which are ids, addresses and counts.
-var named = regexp.MustCompile(`\S*\d\S*`)
+// wordWithDigit matches words with digits: ids, addresses and counts.
+var wordWithDigit = regexp.MustCompile(`\S*\d\S*`)
 
-// reason returns the first part of a cause, without its code, ids and numbers.
+// reason returns the first part of a cause without its result code, with ids and numbers replaced.
 func reason(cause string) string {
 	if _, text, found := strings.Cut(cause, ": "); found {
 		cause = text
 	}
 	cause, _, _ = strings.Cut(cause, ": ")
-	return strings.Join(strings.Fields(named.ReplaceAllString(cause, "…")), " ")
+	return strings.Join(strings.Fields(wordWithDigit.ReplaceAllString(cause, "…")), " ")
 }
 
 // balance matches "account=held+reserved/free/limit".
@@ -232,7 +234,7 @@
 	for _, m := range balance.FindAllStringSubmatch(text, -1) {
 		var n [4]int64
 		for i := range n {
-			n[i], _ = strconv.ParseInt(m[i+2], 10, 64) // digits, and beyond the range the largest number
+			n[i], _ = strconv.ParseInt(m[i+2], 10, 64) // only digits match; ParseInt returns the nearest int64 if out of range
 		}
 		all[m[1]] = Balance{Held: n[0], Reserved: n[1], Free: n[2], Limit: n[3]}
 	}
--- a/lab/account/refusals.go
+++ b/lab/account/refusals.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Refusal is a reason for which requests were not served, and how often.
+// Refusal summarizes the requests that were not served for one reason.
 type Refusal struct {
-	// Name is the name of the result code, and Cause the reason in words.
+	// Name is the name of the result code, and Cause the text of the reason.
 	Name, Cause string
 	Count       int
-	// First and Last are when the first and the last of them ended, and Median is the time that
-	// one of them took.
-	First, Last, Median time.Duration
-	// Router is where most of them ended, and AtRouter how many.
+	// First and Last are the times at which the first and the last of them ended, and MedianDuration is
+	// their median duration.
+	First, Last, MedianDuration time.Duration
+	// Router is the router with the most of them, and AtRouter their number there.
 	Router   string
 	AtRouter int
 }
 
-// Refusals returns the reasons for which requests were not served, the most frequent first.
+// Refusals returns the refusals by reason, the most frequent first.
 func (r *Run) Refusals() []Refusal {
 	type reason struct{ name, cause string }
 	byReason := map[reason][]Request{}
@@ -49,7 +49,7 @@
 		took = append(took, q.After)
 	}
 	slices.Sort(took)
-	f.Median = took[len(took)/2]
+	f.MedianDuration = took[len(took)/2]
 	for router, n := range byRouter {
 		if n > f.AtRouter || n == f.AtRouter && router < f.Router {
 			f.Router, f.AtRouter = router, n
@@ -58,8 +58,8 @@
 	return f
 }
 
-// PerSecond returns how many requests of each result code but OK ended in each second of the run,
-// counted from the first one.
+// PerSecond returns the number of requests per second of the run by result code, without OK. Index 0
+// is second first, in which the earliest request ended.
 func (r *Run) PerSecond() (first int, byName map[string][]int) {
 	byName = map[string][]int{}
 	if len(r.Requests) == 0 {
--- a/lab/account/routers.go
+++ b/lab/account/routers.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Router is what the logs say of one router's troubles.
+// Router counts the problems of one router that its logs report.
 type Router struct {
 	Name string
-	// Starts counts its processes, Pauses the pauses of the process, Full the times at which its
-	// link turned full or free again, NoDescriptor the lines without a descriptor, and StoreLost
-	// the losses of the store.
-	Starts, Pauses, Full, NoDescriptor, StoreLost int
-	// Behind counts the requests that it refused for old knowledge.
-	Behind int
+	// Starts counts process starts, Pauses the pauses of the process or the machine, LinkLoadChanges the
+	// changes of its link to saturated or back, NoDescriptor the log lines about exhausted file
+	// descriptors, and StoreLost the losses of the connection to the store.
+	Starts, Pauses, LinkLoadChanges, NoDescriptor, StoreLost int
+	// RefusedStale counts the requests that it refused because its state was stale.
+	RefusedStale int
 }
 
-// troubles counts the events of a router by message.
-var troubles = map[string]func(*Router) *int{
+// counters maps log messages to the counter of a router that they increment.
+var counters = map[string]func(*Router) *int{
 	"started":               func(r *Router) *int { return &r.Starts },
 	"process was paused":    func(r *Router) *int { return &r.Pauses },
 	"machine was suspended": func(r *Router) *int { return &r.Pauses },
-	"link load":             func(r *Router) *int { return &r.Full },
+	"link load":             func(r *Router) *int { return &r.LinkLoadChanges },
 	"no descriptor left":    func(r *Router) *int { return &r.NoDescriptor },
 	"store lost":            func(r *Router) *int { return &r.StoreLost },
 }
 
-// behind is the reason of a refusal for old knowledge.
-const behind = "the router is behind"
+// staleCause is the cause of a refusal because of stale state.
+const staleCause = "the router is behind"
 
-// Routers returns the routers, those with the most refusals for old knowledge first.
+// Routers returns the routers, those with the most refusals because of stale state first.
 func (r *Run) Routers() []Router {
 	byName := map[string]*Router{}
 	at := func(name string) *Router {
@@ -39,13 +39,13 @@
 		return byName[name]
 	}
 	for _, e := range r.Events {
-		if count, ok := troubles[e.Message]; ok {
+		if count, ok := counters[e.Message]; ok {
 			*count(at(e.Router))++
 		}
 	}
 	for _, q := range r.Requests {
-		if q.Cause == behind {
-			at(q.Router).Behind++
+		if q.Cause == staleCause {
+			at(q.Router).RefusedStale++
 		}
 	}
 	var all []Router
@@ -53,7 +53,7 @@
 		all = append(all, *router)
 	}
 	slices.SortFunc(all, func(a, b Router) int {
-		return cmp.Or(cmp.Compare(b.Behind, a.Behind), cmp.Compare(b.Pauses+b.Full, a.Pauses+a.Full), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.RefusedStale, a.RefusedStale), cmp.Compare(b.Pauses+b.LinkLoadChanges, a.Pauses+a.LinkLoadChanges), cmp.Compare(a.Name, b.Name))
 	})
 	return all
 }
--- a/lab/account/tokens.go
+++ b/lab/account/tokens.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// exhaustedAt is the part of a budget at which the store counts as empty.
-const exhaustedAt = 0.01
+// emptyShare is the share of a budget at or below which the store counts as empty.
+const emptyShare = 0.01
 
-// Tokens is where the tokens of a client account were at a time, in tokens. What is neither free
-// nor at a writer was spent, lies in routers that did not write the page, or was lost with them.
+// Tokens counts the tokens of a client account by location at one time. Tokens that are neither in
+// the store nor at a writer have been spent, are held by routers that did not write the page, or
+// were lost with such routers.
 type Tokens struct {
 	At time.Duration
-	// Free are in the store.
+	// Free is the number of tokens in the store.
 	Free int64
-	// Held and Reserved are those of the routers that have written the page since they started,
-	// by what they wrote last.
+	// Held and Reserved are the tokens of the routers that have written the page since they started,
+	// as of their last write.
 	Held, Reserved int64
 	Limit          int64
 }
@@ -24,19 +25,19 @@
 // Elsewhere returns the tokens that are neither in the store nor at a writer.
 func (t Tokens) Elsewhere() int64 { return t.Limit - t.Free - t.Held - t.Reserved }
 
-// AccountTokens is the course of an account's tokens.
+// AccountTokens is the history of the tokens of an account.
 type AccountTokens struct {
 	Account string
-	Course  []Tokens
-	// Emptied is when the store had no more than a hundredth of the budget first, and stayed so;
-	// below 0: it did not.
-	Emptied time.Duration
-	// Exhausted counts requests refused since the budget was used up, Early those of them before
-	// the store was empty, and Unreachable those for which nobody could be asked.
+	History []Tokens
+	// EmptySince is the time from which the store had at most a hundredth of the budget until the end
+	// of the run; negative if it had more at the end.
+	EmptySince time.Duration
+	// Exhausted counts requests refused because the budget was exhausted, Early those of them before
+	// the store was empty, and Unreachable those refused because no holder of tokens was reachable.
 	Exhausted, Early, Unreachable int
 }
 
-// Tokens returns the course of the tokens of each account that has a budget, by account.
+// Tokens returns the token history of each account with a budget, sorted by account.
 func (r *Run) Tokens() []AccountTokens {
 	pages := slices.Clone(r.Pages)
 	slices.SortStableFunc(pages, func(a, b Page) int { return cmp.Compare(a.Version, b.Version) })
@@ -58,14 +59,14 @@
 	}
 	var all []AccountTokens
 	for account, course := range courses {
-		all = append(all, AccountTokens{Account: account, Course: course, Emptied: emptied(course)})
+		all = append(all, AccountTokens{Account: account, History: course, EmptySince: emptySince(course)})
 	}
 	slices.SortFunc(all, func(a, b AccountTokens) int { return cmp.Compare(a.Account, b.Account) })
 	r.countRefusals(all)
 	return all
 }
 
-// starts returns when each router's processes started.
+// starts returns the process start times of each router.
 func (r *Run) starts() map[string][]time.Duration {
 	starts := map[string][]time.Duration{}
 	for _, e := range r.Events {
@@ -76,16 +77,17 @@
 	return starts
 }
 
-// restarted tells whether a process has started after a time, and by another one.
+// restarted reports whether a process started in the interval (after, by].
 func restarted(starts []time.Duration, after, by time.Duration) bool {
 	return slices.ContainsFunc(starts, func(at time.Duration) bool { return at > after && at <= by })
 }
 
-// emptied returns since when the store was empty to the end of the course; -1: it was not.
-func emptied(course []Tokens) time.Duration {
+// emptySince returns the time from which the store was empty until the end of the history, or -1 if it
+// was not empty at the end.
+func emptySince(course []Tokens) time.Duration {
 	since := time.Duration(-1)
 	for _, t := range course {
-		switch empty := float64(t.Free) <= exhaustedAt*float64(t.Limit); {
+		switch empty := float64(t.Free) <= emptyShare*float64(t.Limit); {
 		case !empty:
 			since = -1
 		case since < 0:
@@ -108,7 +110,7 @@
 		switch a := &all[i]; q.Name {
 		case "BudgetExhausted":
 			a.Exhausted++
-			if a.Emptied < 0 || q.At < a.Emptied {
+			if a.EmptySince < 0 || q.At < a.EmptySince {
 				a.Early++
 			}
 		case "BudgetUnreachable":
@@ -117,8 +119,8 @@
 	}
 }
 
-// mostRefused orders accounts by the requests that were refused for their budgets, the most first.
-func mostRefused(all []AccountTokens) []AccountTokens {
+// sortByRefusals sorts accounts by the number of requests refused because of their budgets, descending.
+func sortByRefusals(all []AccountTokens) []AccountTokens {
 	slices.SortStableFunc(all, func(a, b AccountTokens) int {
 		return cmp.Compare(b.Exhausted+b.Unreachable, a.Exhausted+a.Unreachable)
 	})
