--- a/lab/routing/routing.go
+++ b/lab/routing/routing.go
@@ -1,5 +1,6 @@
-// Package routing compares ways to pick a backend server, on the real routing
-// code in virtual time, seeded, with late load reports and one slow server.
+// Package routing compares load-balancing policies that pick a backend server. It
+// simulates a seeded load in virtual time with delayed load reports and one slow
+// server; gaplink's policy runs the production routing code.
 package routing
 
 import (
@@ -14,20 +15,20 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// The load and the servers.
+// Parameters of the load and the servers.
 const (
-	routers    = 8
-	servers    = 12
-	perSecond  = 60
-	length     = 3 * time.Minute
-	prefixes   = 300 // prompt prefixes in use, by a Zipf law
-	cached     = 40  // prefixes that a server's cache holds
-	slots      = 8   // requests that a server runs without slowing down
-	prefillHit = 40 * time.Millisecond
-	prefill    = 400 * time.Millisecond
-	decode     = 600 * time.Millisecond
-	slowFactor = 3 // of the first server
-	reportLag  = time.Second
+	routers       = 8
+	servers       = 12
+	perSecond     = 60
+	length        = 3 * time.Minute
+	prefixes      = 300 // prompt prefixes in use, with a Zipf distribution
+	cacheSize     = 40  // prefix capacity of a server's cache
+	slots         = 8   // concurrent requests that a server runs without slowdown
+	prefillCached = 40 * time.Millisecond
+	prefill       = 400 * time.Millisecond
+	decode        = 600 * time.Millisecond
+	slowFactor    = 3 // slowdown of the first server
+	reportLag     = time.Second
 )
 
 // Policy picks a server for a request at a router.
@@ -38,7 +39,7 @@
 	Report(now time.Time, server int, load float64)
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Policy   string
 	Requests int
@@ -46,18 +47,18 @@
 	FirstP50, FirstP95 float64
 	// Hits is the share of requests whose prefix was cached, in percent.
 	Hits float64
-	// Imbalance is the busiest server's requests over the mean.
+	// Imbalance is the request count of the busiest server divided by the mean.
 	Imbalance float64
 }
 
-// server is one backend server.
+// server is one simulated backend server.
 type server struct {
 	inFlight int
 	served   int
-	cache    []uint64 // most recent last
+	cache    []uint64 // least recently used first
 }
 
-// hit looks a prefix up and makes it the most recent.
+// hit reports whether a prefix is cached, and makes it the most recently used one.
 func (s *server) hit(prefix uint64) bool {
 	found := false
 	for i, p := range s.cache {
@@ -68,7 +69,7 @@
 		}
 	}
 	s.cache = append(s.cache, prefix)
-	if len(s.cache) > cached {
+	if len(s.cache) > cacheSize {
 		s.cache = s.cache[1:]
 	}
 	return found
@@ -76,13 +77,13 @@
 
 type run struct {
 	*vtime.Sim
-	policy  Policy
-	servers []*server
-	first   []time.Duration
-	hits    int
+	policy     Policy
+	servers    []*server
+	firstToken []time.Duration
+	hits       int
 }
 
-// Run runs the seeded load on a policy.
+// Run runs the seeded load with a policy.
 func Run(name string, p Policy) Result {
 	r := &run{Sim: vtime.New(1, 2), policy: p}
 	for range servers {
@@ -116,18 +117,18 @@
 	}
 	ttft := prefill
 	if s.hit(prefix) {
-		ttft = prefillHit
+		ttft = prefillCached
 		r.hits++
 	}
 	ttft = time.Duration(float64(ttft) * pace)
-	r.first = append(r.first, ttft)
+	r.firstToken = append(r.firstToken, ttft)
 	r.After(ttft+time.Duration(float64(decode)*pace), func() {
 		s.inFlight--
 		r.policy.Finished(r.Now, router, n)
 	})
 }
 
-// report publishes each server's load, as it was a lag ago.
+// report reports the current load of each server to the policy after reportLag, and repeats.
 func (r *run) report() {
 	loads := make([]float64, servers)
 	for i, s := range r.servers {
@@ -142,9 +143,9 @@
 }
 
 func (r *run) result(name string) Result {
-	sort.Slice(r.first, func(i, j int) bool { return r.first[i] < r.first[j] })
+	sort.Slice(r.firstToken, func(i, j int) bool { return r.firstToken[i] < r.firstToken[j] })
 	at := func(q float64) float64 {
-		return float64(r.first[int(q*float64(len(r.first)-1))]) / float64(time.Millisecond)
+		return float64(r.firstToken[int(q*float64(len(r.firstToken)-1))]) / float64(time.Millisecond)
 	}
 	most := 0
 	for _, s := range r.servers {
@@ -152,18 +153,18 @@
 	}
 	return Result{
 		Policy:    name,
-		Requests:  len(r.first),
+		Requests:  len(r.firstToken),
 		FirstP50:  at(0.5),
 		FirstP95:  at(0.95),
-		Hits:      100 * float64(r.hits) / float64(len(r.first)),
-		Imbalance: float64(most) * servers / float64(len(r.first)),
+		Hits:      100 * float64(r.hits) / float64(len(r.firstToken)),
+		Imbalance: float64(most) * servers / float64(len(r.firstToken)),
 	}
 }
 
-// roundRobin takes the servers in turn, at each router by itself.
+// roundRobin picks the servers in turn, independently at each router.
 type roundRobin struct{ next [routers]int }
 
-// RoundRobin returns the policy.
+// RoundRobin returns a round-robin policy.
 func RoundRobin() Policy { return &roundRobin{} }
 
 // Pick implements Policy.
@@ -181,13 +182,13 @@
 // Report implements Policy.
 func (p *roundRobin) Report(time.Time, int, float64) {}
 
-// leastInFlight takes the server with the fewest of the router's own requests.
+// leastInFlight picks the server with the fewest requests in flight from the same router.
 type leastInFlight struct {
 	roundRobin
-	own [routers][servers]int
+	inFlight [routers][servers]int
 }
 
-// LeastInFlight returns the policy.
+// LeastInFlight returns a least-requests policy.
 func LeastInFlight() Policy { return &leastInFlight{} }
 
 // Pick implements Policy.
@@ -196,7 +197,7 @@
 	best := first
 	for k := range servers {
 		n := (first + k) % servers
-		if p.own[router][n] < p.own[router][best] {
+		if p.inFlight[router][n] < p.inFlight[router][best] {
 			best = n
 		}
 	}
@@ -204,18 +205,18 @@
 }
 
 // Started implements Policy.
-func (p *leastInFlight) Started(router, n int) { p.own[router][n]++ }
+func (p *leastInFlight) Started(router, n int) { p.inFlight[router][n]++ }
 
 // Finished implements Policy.
-func (p *leastInFlight) Finished(_ time.Time, router, n int) { p.own[router][n]-- }
+func (p *leastInFlight) Finished(_ time.Time, router, n int) { p.inFlight[router][n]-- }
 
-// chosen is gaplink's routing code, one instance a router.
+// chosen runs gaplink's routing code, with one instance per router.
 type chosen struct {
 	routes [routers]*route.Routes
 	rng    *rand.Rand
 }
 
-// Chosen returns the policy that gaplink uses.
+// Chosen returns the policy that gaplink uses in production.
 func Chosen() Policy {
 	p := &chosen{rng: rand.New(rand.NewPCG(3, 4))}
 	pool := table.Pool{Name: "p", Kind: table.Model, Target: "m", Site: "s"}
