--- a/lab/clocktest/clocktest.go
+++ b/lab/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest suspends the machine of a test, as far as package clock tells.
+// Package clocktest simulates machine suspends in tests that use package clock.
 package clocktest
 
 import (
@@ -9,16 +9,17 @@
 	"github.com/gaplink/gaplink/clock"
 )
 
-// Machine is the machine of a test. Tests that have one do not run beside each other.
+// Machine is the simulated machine of a test. Tests that use one must not run in parallel, since
+// it replaces the global suspend time of package clock.
 type Machine struct{ suspended atomic.Int64 }
 
-// New returns a machine that was never suspended, until the test's end.
+// New returns a machine that has not been suspended. It is removed at the end of the test.
 func New(t testing.TB) *Machine {
 	m := &Machine{}
 	t.Cleanup(clock.Replace(func() time.Duration { return time.Duration(m.suspended.Load()) }))
 	return m
 }
 
-// Suspend suspends the machine and wakes it d later: the steady clock and all timers
-// stand still meanwhile.
+// Suspend simulates a suspend of duration d, during which the monotonic clock and all timers
+// stop.
 func (m *Machine) Suspend(d time.Duration) { m.suspended.Add(int64(d)) }
