--- a/lab/loopback/loopback_test.go
+++ b/lab/loopback/loopback_test.go
@@ -20,10 +20,10 @@
 			t.Fatal(err)
 		}
 		if n, err := strconv.Atoi(port); err != nil || n >= 32768 {
-			t.Fatalf("port %s is one of outgoing connections", port)
+			t.Fatalf("port %s is in the ephemeral port range", port)
 		}
 		if seen[addr] {
-			t.Fatalf("%s was handed out twice", addr)
+			t.Fatalf("%s was returned twice", addr)
 		}
 		seen[addr] = true
 		l, err := net.Listen("tcp", addr)
