--- a/lab/mutate/mutate.go
+++ b/lab/mutate/mutate.go
@@ -1,5 +1,4 @@
-// Package mutate makes bad input of good: JSON of which one value is another than it
-// should be.
+// Package mutate derives invalid input for tests from valid JSON by replacing single values.
 package mutate
 
 import (
@@ -7,10 +6,10 @@
 	"testing"
 )
 
-// strange are the values put in the place of good ones.
-var strange = []any{nil, -1, 1.5, "x", []any{}, []any{nil}, map[string]any{}, map[string]any{"x": nil}}
+// replacements contains the values that replace valid ones.
+var replacements = []any{nil, -1, 1.5, "x", []any{}, []any{nil}, map[string]any{}, map[string]any{"x": nil}}
 
-// Each calls fn with each document that differs from a good one in one value, at any
+// Each calls fn with every document that results from replacing one value of good, at any
 // depth.
 func Each(t testing.TB, good []byte, fn func(bad []byte)) {
 	t.Helper()
@@ -18,42 +17,43 @@
 	if err := json.Unmarshal(good, &root); err != nil {
 		t.Fatal(err)
 	}
-	told := func() {
+	emit := func() {
 		bad, err := json.Marshal(root)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fn(bad)
 	}
-	for _, s := range strange {
+	for _, s := range replacements {
 		kept := root
 		root = s
-		told()
+		emit()
 		root = kept
 	}
-	each(root, told)
+	eachBelow(root, emit)
 }
 
-// each puts the strange values in the place of each value below one.
-func each(node any, told func()) {
+// eachBelow calls emit after replacing each value below node in turn, and restores the value
+// afterwards.
+func eachBelow(node any, emit func()) {
 	switch n := node.(type) {
 	case map[string]any:
 		for key, kept := range n {
-			for _, s := range strange {
+			for _, s := range replacements {
 				n[key] = s
-				told()
+				emit()
 			}
 			n[key] = kept
-			each(kept, told)
+			eachBelow(kept, emit)
 		}
 	case []any:
 		for i, kept := range n {
-			for _, s := range strange {
+			for _, s := range replacements {
 				n[i] = s
-				told()
+				emit()
 			}
 			n[i] = kept
-			each(kept, told)
+			eachBelow(kept, emit)
 		}
 	}
 }
