--- a/lab/tcptest/tcptest.go
+++ b/lab/tcptest/tcptest.go
@@ -1,4 +1,4 @@
-// Package tcptest has what tests of raw connections share.
+// Package tcptest provides helpers for tests with raw TCP connections.
 package tcptest
 
 import (
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// Listen starts a listener on loopback and hands each connection to serve, in a
-// goroutine of its own and with its number from 0. It returns the address; the
-// listener is closed at the test's end.
+// Listen starts a loopback listener and calls serve for each connection in a separate
+// goroutine, with the number of the connection, starting at 0. It returns the address. The
+// listener is closed at the end of the test.
 func Listen(t testing.TB, serve func(c net.Conn, n int)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,13 +31,14 @@
 	return l.Addr().String()
 }
 
-// AnswerOnce reads one request from a connection, writes these bytes and closes it.
+// AnswerOnce reads one HTTP request from a connection, writes answer and closes the
+// connection.
 func AnswerOnce(c net.Conn, answer string) {
 	defer func() { _ = c.Close() }()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // what fails here fails for the test's caller
+	_, _ = io.Copy(io.Discard, r.Body) // an error here shows up at the client under test
 	_, _ = io.WriteString(c, answer)
 }
