--- a/lab/vtime/vtime.go
+++ b/lab/vtime/vtime.go
@@ -1,5 +1,5 @@
-// Package vtime is a virtual clock for seeded benches: events happen in the
-// order of their times, and a run repeats exactly.
+// Package vtime provides a virtual clock for seeded simulations. Events run in the
+// order of their virtual times, and a run repeats exactly.
 package vtime
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at  time.Time
-	seq int // keeps events of the same time in order
+	seq int // orders events with the same time
 	do  func()
 }
 
@@ -37,7 +37,7 @@
 	return last
 }
 
-// Sim is a virtual clock with a queue of events and a seeded random source.
+// Sim is a virtual clock with an event queue and a seeded random source.
 type Sim struct {
 	// Now is the virtual time.
 	Now time.Time
@@ -47,18 +47,18 @@
 	seq   int
 }
 
-// New returns a clock; seed and stream fix its random source.
+// New returns a clock whose random source is determined by seed and stream.
 func New(seed, stream uint64) *Sim {
 	return &Sim{Now: time.Unix(1_000_000, 0), Rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// After schedules an event.
+// After schedules do to run d after the current virtual time.
 func (s *Sim) After(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{at: s.Now.Add(d), seq: s.seq, do: do})
 }
 
-// Run carries events out until the given time.
+// Run executes events up to and including the given time, and advances the clock to it.
 func (s *Sim) Run(until time.Time) {
 	for len(s.queue) > 0 && !s.queue[0].at.After(until) {
 		e := heap.Pop(&s.queue).(event)
