--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,15 +1,16 @@
 #!/usr/bin/env bash
-# Checks the models exhaustively with spin, then removes one rule after the
-# other and checks that each removal is caught. Exit 0 when all is as it
-# should be.
+# Verifies the models exhaustively with spin, then removes one rule at a time and
+# verifies that each removal violates an assertion. Exits with 0 if all results
+# are as expected.
 set -euo pipefail
 cd "$(dirname "$0")"
-# The longest a single check may take, in seconds; longer is a failure.
+# Timeout of a single check, in seconds. A timeout is a failure.
 limit=120
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# check MODEL DEFINES... : prints "ok STATES" or "error".
+# check MODEL DEFINES... : prints "ok STATES", "error" for a violated assertion, or
+# the reason why the check is incomplete.
 check() {
   local model=$1 dir
   shift
@@ -30,8 +31,8 @@
   )
 }
 
-# Each line: model, what is checked, wanted result, defines. Checks run side by
-# side, and their results are printed in this order.
+# start runs a check in the background. Arguments: model, label, expected result,
+# defines. Checks run in parallel; results are printed in the order of the calls.
 jobs=0
 start() { # MODEL LABEL WANTED DEFINES...
   local model=$1 label=$2 wanted=$3
@@ -42,7 +43,8 @@
   check "$model" "$@" >"$work/got$jobs" &
 }
 
-# run MODEL REMOVALS... : the model must hold, each removal must be caught.
+# run MODEL REMOVALS... : the complete model must hold, and each removal of a rule
+# must violate an assertion.
 run() {
   local model=$1 removal
   shift
--- a/spec/escrow.pml
+++ b/spec/escrow.pml
@@ -1,28 +1,28 @@
-/* Escrows and their successors: what a process withheld is taken back by a later one of
- * the same machine, by clocks that may start anew or be set.
+/* Escrows: tokens that a process withheld are reclaimed by a later process of the same
+ * machine. The age of an escrow comes from clocks that may restart or be set.
  *
- * One entry of W tokens, written once. Its owner uses what the schedule has released, one
- * token a tick, until it dies. The machine may lose power, so that its steady clock
- * starts anew under the same boot id; the time of day may be set by up to J ticks either
- * way; processes may start and die without writing anything. A process that starts after
- * the owner's death may take back what the schedule cannot have released at the age that
- * the clocks prove. Whatever happens, what was used and what was taken back are no more
- * than W.
+ * There is one entry of W tokens, written once. Its owner uses the tokens that the schedule
+ * releases, one token per tick, until it dies. The machine may lose power, so that its
+ * monotonic clock restarts under the same boot id; the time of day may be set by up to J
+ * ticks either way; processes may start and die without writing anything. A process that
+ * starts after the owner's death may reclaim the tokens that the schedule cannot have
+ * released at the age that the clocks prove. Safety: used and reclaimed tokens never exceed W.
  *
- * Removed rules, each of which must be caught: NO_DAY (the time of day is not asked),
- * NO_UPTIME (entries of machines that have just started count), NO_SCHEDULE (all that was
- * withheld is taken back).
+ * Each define below removes one rule; the check must then fail:
+ *   NO_DAY       the time of day is not compared
+ *   NO_UPTIME    entries written shortly after a machine start are accepted
+ *   NO_SCHEDULE  all withheld tokens are reclaimed, whatever the schedule has released
  */
 #define W 4          /* tokens withheld, and ticks until all are released */
-#define T 16         /* ticks that are looked at */
-#define J 1          /* how far the time of day may be off */
-#define LEAST 3      /* the steady clock at a write from which a start anew shows: 2 J + 1 */
+#define T 16         /* ticks in the model */
+#define J 1          /* maximum error of the time of day, in ticks */
+#define LEAST 3      /* least monotonic clock at a write for a later restart to be detectable: 2 J + 1 */
 
 byte t;              /* true time */
-byte boot;           /* when the steady clock read zero */
-byte off = J;        /* how far the time of day is ahead, plus J */
-bool alive = true;   /* a process runs */
-bool owner = true;   /* it is the one that withholds */
+byte boot;           /* true time at which the monotonic clock was zero */
+byte off = J;        /* error of the time of day, plus J */
+bool alive = true;   /* a process is running */
+bool owner = true;   /* the running process is the owner of the escrow */
 bool written, closed;
 byte wroteSteady, wroteDay, wroteAt;
 byte used;
@@ -49,7 +49,7 @@
 	written = true
 }
 
-/* A process starts: it takes back what is proven not to have been used. */
+/* A process starts and reclaims the tokens that are proven unused. */
 inline start() {
 	alive = true;
 	if
--- a/spec/grants.pml
+++ b/spec/grants.pml
@@ -1,32 +1,33 @@
 /*
- * Budgets: issuing tokens from the store, moving them between routers,
- * dispatching with a witness, and reclaiming what a router left that is taken
- * to be dead (it may be dead, paused or cut off: it just takes no step, or
- * takes one at any later time).
+ * Budgets: issuing tokens from the store, transferring them between routers,
+ * dispatching with a witness, and reclaiming the tokens of a router that has
+ * been declared dead. That router may be dead, paused or partitioned: it takes
+ * no step, or takes one at any later time.
  *
  * Three routers. Router 0 may be fenced at any time. Router 1 reclaims.
  * Router 2 may crash when CRASH2 is defined. One token is one request.
- * A lost answer is a step between a write and the router's knowledge of it.
+ * A lost answer is modeled as a step between a write and the router's learning
+ * its result.
  *
- * Safety: tokens served never pass the limit.
+ * Safety: the tokens served never exceed the limit.
  *
  * Each define below removes one rule; the check must then fail:
  *   NO_CONDITION    a draw does not check the limit it writes against
- *   NO_CUMULATIVE   a moved token is added again when a message is repeated
- *   GIVE_LATE       the giver decrements after the message has left
+ *   NO_CUMULATIVE   a transferred token is added again when a message is repeated
+ *   GIVE_LATE       the sender's balance is not reduced when the message is sent
  *   NO_OP_NUMBER    a return whose answer was lost is written again
- *   NO_WITNESS      a dispatch is told to nobody before
- *   NO_REFUSE       live routers still take claims and tokens of the fenced
- *   NO_BARRIER      witnesses do not commit what they hold before the count
- *   NO_TRANSIT      tokens on the way between live routers are not counted
- *   BAD_ORDER       charges are read before the holdings
+ *   NO_WITNESS      a request is dispatched without recording its claim at a witness
+ *   NO_REFUSE       live routers still accept claims and tokens of the fenced router
+ *   NO_BARRIER      witnesses do not commit their claims before the balances are counted
+ *   NO_TRANSIT      tokens in transit between live routers are not counted
+ *   BAD_ORDER       charges are read before the balances
  *   NO_VERSION      the reclaim is written although the page has changed
  *   NO_PAGE_FENCE   a fenced router may still return tokens to the store
  *   SETTLE_FIRST    a reservation is settled before its bill is recorded
- *   TWO_DEAD        reclaim goes on although a witness has crashed too
+ *   TWO_DEAD        the reclaim continues although a witness has crashed too
  */
 #define N 3
-#define LIMIT 1	/* and one token of top-up */
+#define LIMIT 1	/* plus one token of a possible top-up */
 #define AT(a, b) ((a) * N + (b))
 
 byte limit = LIMIT;
@@ -34,11 +35,11 @@
 bool changed = false;	/* the page was written since the reclaimer read it */
 byte bal[N];		/* free */
 byte res[N];		/* reserved by a running request */
-byte drawn[N];		/* drawn, not yet known to the router */
-byte back[N];		/* on its way back to the store */
+byte drawn[N];		/* drawn from the store, not yet known to the router */
+byte back[N];		/* being returned to the store */
 byte sent[9];
 byte seen[9];
-byte wit[9];		/* wit[y, x]: claims of x in y's memory */
+byte wit[9];		/* wit[y, x]: claims of router x in the memory of witness y */
 byte open[N];		/* claims in the log without a bill */
 byte claimed[N];	/* claimed, not yet sent to a backend server */
 byte running[N];	/* sent, not yet billed */
@@ -51,8 +52,9 @@
 bool pagefence = false;
 byte returns = 0;
 
-/* Bounds: routers 0 and 1 deal with the store, one return in all; tokens move
- * from 0 to 1 and 2, and between 1 and 2, once each way. */
+/* Bounds of the model: only routers 0 and 1 access the store, with one return in
+ * total; tokens are transferred from 0 to 1 and 2, and between 1 and 2, once in
+ * each direction. */
 #define BANKS(i) ((i) < 2)
 #define MOVES(i, o) ((i) != (o) && (o) != 0)
 
@@ -81,7 +83,7 @@
 #endif
 
 inline flush(y) {
-	/* y commits all claims that it holds */
+	/* witness y commits all claims in its memory */
 	charged = charged + (logfence -> wit[AT(y, 0)] : 0);
 	open[0] = open[0] + (logfence -> 0 : wit[AT(y, 0)]);
 	open[1] = open[1] + wit[AT(y, 1)];
@@ -92,9 +94,9 @@
 }
 
 inline unclaim(x) {
-	/* the bill takes the place of the claim */
+	/* the bill replaces the claim */
 	if
-	:: x == 0 && logfence -> skip /* was charged by the fence */
+	:: x == 0 && logfence -> skip /* already charged by the fence */
 	:: else ->
 		charged++;
 		if
@@ -180,7 +182,7 @@
 	short left;
 	byte c;
 	byte s12, s21, r12, r21;
-	/* the barrier, at each live router in turn */
+	/* the barrier, at one live router after the other */
 	atomic { refuse[1] = true;
 #ifndef NO_BARRIER
 		flush(1)
@@ -197,7 +199,7 @@
 #endif
 	/* the fence in the log */
 	atomic { charged = charged + open[0]; open[0] = 0; logfence = true };
-	/* the readings, each a step of its own */
+	/* the reads, each a separate step */
 	atomic { left = issued; changed = false };
 #ifdef BAD_ORDER
 	c = charged;
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,29 +1,30 @@
 /*
  * Claims and bills of one not-repeatable request in one ledger shard.
  *
- * Three routers. Each may act for the shard, alone in its belief or not; each
- * may be paused between any two steps, which covers a frozen owner that
- * wakes. The caller sends the request to router 0 and retries at router 1 and
- * router 2, whatever became of the earlier tries. Answers of the store may be
- * lost, and a write whose answer was lost may arrive later. Routers may crash.
+ * Three routers. Each may act as the owner of the shard, possibly at the same
+ * time as others. Each may be paused between any two steps, which includes a
+ * paused owner that resumes. The caller sends the request to router 0 and
+ * retries at routers 1 and 2, regardless of the outcome of earlier tries.
+ * Answers of the store may be lost, and a write whose answer was lost may be
+ * applied later. Routers may crash.
  *
- * The log holds entries; a writer knows the log up to its position and writes
- * the next entry only if the log has not grown. Entries: CLAIM by a router,
+ * The log is a list of entries. A writer has read the log up to its position and
+ * appends an entry only if the log has not grown since. Entries: CLAIM by a router,
  * BILL of a router's run, UNDO of a claim that did not run.
  *
  * Safety:
  *   the request runs at most once;
  *   it is billed at most once;
- *   who was told "not run" is never run.
+ *   a try that was answered with "not run" never runs.
  *
  * Each define below removes one rule; the check must then fail:
  *   NO_CONDITION   a write does not check that the log has not grown
  *   NO_COMMIT      the request is dispatched before its claim is committed
- *   LOST_IS_DONE   a lost answer is taken for a success
- *   LOST_IS_FREE   after a lost answer "not run" is told, and the claim used
- *   NO_REPLAY      a router that finds the log grown decides without reading it
- *   TAKE_OVER      a claim left by another router may be taken over
- *   BILL_AGAIN     a bill whose answer was lost is written without reading
+ *   LOST_IS_DONE   a lost answer is treated as a success
+ *   LOST_IS_FREE   after a lost answer the router reports "not run" but uses the claim
+ *   NO_REPLAY      a router that finds the log has grown decides without reading it
+ *   TAKE_OVER      a claim of another router may be taken over
+ *   BILL_AGAIN     a bill whose answer was lost is written again without reading the log
  */
 #define N 3
 #define MAXLOG 6
@@ -47,7 +48,7 @@
 #endif
 
 inline put(k, w) {
-	/* the store applies a write */
+	/* the store applies the write */
 	kind[size] = k;
 	who[size] = w;
 	size++;
@@ -58,7 +59,7 @@
 }
 
 inline read() {
-	/* read the log from the position on */
+	/* read the log from the position to its end */
 	do
 	:: pos < size ->
 		if
@@ -92,10 +93,10 @@
 	byte pos = 0;
 	byte holder = NONE;
 	bool billed = false;
-	bool late = false;	/* a write of ours may still arrive */
+	bool late = false;	/* a write of this router may still be applied */
 	byte latepos = 0;
 
-	/* reading, then trying to claim */
+	/* read the log, then try to claim */
 again:	atomic { read() };
 #ifdef TAKE_OVER
 	if
@@ -122,7 +123,7 @@
 	if
 	:: atomic { FREE(pos) && size < MAXLOG -> put(CLAIM, id) } ;
 		if
-		:: goto claimed			/* the answer came */
+		:: goto claimed			/* the answer arrived */
 		:: goto lost			/* the answer was lost */
 		:: goto ended			/* crash */
 		fi
@@ -134,7 +135,7 @@
 #endif
 		};
 		goto again
-	:: latepos = pos; late = true; goto lost	/* lost, and not yet arrived */
+	:: latepos = pos; late = true; goto lost	/* the answer is lost, and the write not yet applied */
 	fi;
 
 lost:
@@ -142,8 +143,8 @@
 	goto claimed;
 #endif
 	if
-	:: goto again			/* reading tells */
-	:: goto withdraw		/* the store does not answer: not run */
+	:: goto again			/* read the log to learn the result */
+	:: goto withdraw		/* the store does not answer: report "not run" */
 	fi;
 
 withdraw:
@@ -172,11 +173,11 @@
 	if
 	:: atomic { FREE(pos) && size < MAXLOG -> put(BILL, id) };
 		if
-		:: goto late_arrival	/* the answer came */
+		:: goto late_arrival	/* the answer arrived */
 #ifdef BILL_AGAIN
 		:: atomic { size < MAXLOG -> pos = size; put(BILL, id) }; goto late_arrival
 #else
-		:: goto bill		/* the answer was lost: reading tells */
+		:: goto bill		/* the answer was lost: read the log to learn the result */
 #endif
 		:: goto ended
 		fi
@@ -189,7 +190,7 @@
 	refuse();
 
 late_arrival:
-	/* a write whose answer was lost reaches the store at last */
+	/* the store applies a write whose answer was lost */
 	if
 	:: atomic { late && latepos == size && size < MAXLOG -> put(CLAIM, id) }
 	:: skip
--- a/spec/table.pml
+++ b/spec/table.pml
@@ -1,27 +1,27 @@
 /*
- * Changes of the table: a proposal in the store's log, acknowledged by every
- * listed instance, then committed by a conditional update, or refused.
+ * Changes of the table: a proposal is written to the store's log, acknowledged
+ * by every listed instance, and then committed by a conditional update or refused.
  *
- * Three instances, any of which may be the proposer (two operators race
- * through instances 0 and 1). Instances may be cut off or paused: they just
- * take no step. Instance 2 may restart with nothing. Messages may be lost or
- * come late: telling an outcome is a step that may never be taken.
+ * Three instances. Two operators race through instances 0 and 1 as proposers.
+ * A partitioned or paused instance takes no step. Instance 2 may restart with
+ * empty state. Messages may be lost or delayed: the delivery of an outcome is a
+ * step that may never be taken.
  *
- * One revision is decided. The bound of an acknowledged, undecided change is
- * the step "late": it comes at some time after the commit, for all instances,
- * since each acknowledged before the commit.
+ * One revision is decided. The step "late" is the expiry of the time bound of an
+ * acknowledged, undecided change. It happens at some time after the commit, for
+ * all instances, since each acknowledged before the commit.
  *
  * Safety:
- *   once the bound has passed, no instance takes work by the old row;
- *   a committed revision is never left for an older one;
+ *   after the bound has expired, no instance serves requests by the old row;
+ *   an instance never goes back from a committed revision to an older one;
  *   the change is not both committed and refused, and only one proposal wins.
  *
  * Each define below removes one rule; the check must then fail:
  *   NO_ACKS       commit without waiting for all acknowledgements
  *   NO_BLOCK      an undecided change does not block its rows after the bound
- *   NO_CONDITION  a decision is written although one stands
- *   NO_CREATE     a proposal is written over another one
- *   TAKE_OLD      an instance takes an older revision from a peer's old copy
+ *   NO_CONDITION  a decision is written although one exists
+ *   NO_CREATE     a proposal overwrites another one
+ *   TAKE_OLD      an instance adopts an older revision from a peer's stale copy
  *   START_BLIND   a restarted instance serves before it has read the log
  */
 #define N 3
@@ -29,15 +29,15 @@
 mtype = { EMPTY, PROPOSED, COMMITTED, REFUSED };
 
 mtype entry = EMPTY;	/* the log entry of revision 1 */
-byte owner = 9;		/* whose proposal it is */
+byte owner = 9;		/* the instance that proposed it */
 bool acked[6];		/* acked[p, i]: i acknowledged p's proposal */
 byte rev[N];		/* revision in force at the instance */
-bool pending[N];	/* acknowledged and undecided */
-bool up[N];		/* serves */
+bool pending[N];	/* acknowledged, but undecided */
+bool up[N];		/* the instance serves requests */
 bool late = false;
 bool wasCommitted = false;
-byte seenRev[N];	/* highest revision that the instance ever served by */
-byte told0 = 0;		/* what the proposers told their operators: 1 yes, 2 no */
+byte seenRev[N];	/* highest revision that the instance has served by */
+byte told0 = 0;		/* answers of the proposers to their operators: 1 yes, 2 no */
 byte told1 = 0;
 
 #define ACK(p, i) acked[(p) * N + (i)]
@@ -75,7 +75,7 @@
 	:: atomic { !(CREATABLE) -> skip }; goto beaten
 	fi;
 	atomic { pending[p] = (rev[p] == 0); ACK(p, p) = true };
-	/* wait for all, or give up */
+	/* wait for all acknowledgements, or give up */
 	if
 #ifdef NO_ACKS
 	:: atomic { DECIDABLE -> commit() }
@@ -83,8 +83,8 @@
 	:: atomic { ACK(p, 0) && ACK(p, 1) && ACK(p, 2) && DECIDABLE -> commit() }
 #endif
 	:: atomic { DECIDABLE -> abort() }
-	:: atomic { !(DECIDABLE) -> skip }	/* another has decided */
-	:: goto beaten				/* crash, or cut off */
+	:: atomic { !(DECIDABLE) -> skip }	/* another instance has decided */
+	:: goto beaten				/* crash or partition */
 	fi;
 	atomic { assert(owner == p) };
 beaten:	skip
@@ -96,18 +96,18 @@
 	/* a proposal reaches the instance, from its proposer or from the log */
 	:: atomic { up[i] && entry == PROPOSED && rev[i] == 0 && !ACK(owner, i) ->
 		pending[i] = true; ACK(owner, i) = true }
-	/* the outcome reaches it */
+	/* the outcome reaches the instance */
 	:: atomic { up[i] && entry == COMMITTED && rev[i] == 0 -> rev[i] = 1; pending[i] = false }
 	:: atomic { up[i] && entry == REFUSED && pending[i] -> pending[i] = false }
 #ifdef TAKE_OLD
 	:: atomic { up[i] && rev[i] == 1 -> rev[i] = 0 }
 #endif
-	/* work */
+	/* serve a request */
 	:: atomic { up[i] && !(BLOCKED(i)) ->
 		assert(!(late && wasCommitted && rev[i] == 0));
 		assert(rev[i] >= seenRev[i]);
 		seenRev[i] = rev[i] }
-	/* a restart with nothing, then reading the log */
+	/* a restart with empty state, then reading the log */
 	:: atomic { i == 2 && up[i] -> up[i] = false; rev[i] = 0; pending[i] = false }
 #ifdef START_BLIND
 	:: atomic { !up[i] -> up[i] = true }
@@ -120,7 +120,7 @@
 	od
 }
 
-/* anybody refuses a proposal whose proposer is gone */
+/* any instance may refuse a proposal whose proposer is gone */
 proctype janitor() {
 	if
 	:: atomic { DECIDABLE -> abort() }
