--- a/lab/account.go
+++ b/lab/account.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer func() { _ = in.Close() }() // it was only read
+	defer func() { _ = in.Close() }() // opened for reading only
 	run, err := account.Read(in)
 	if err != nil {
 		return trace.Wrap(err, "reading %s", file)
--- a/lab/audit.go
+++ b/lab/audit.go
@@ -10,7 +10,7 @@
 	"github.com/gaplink/gaplink/store/httpstore"
 )
 
-// count sums the outcomes.
+// count adds the outcomes to the report.
 func (d *demoRun) count(outcomes []outcome) {
 	r := &d.report
 	r.Requests = len(outcomes)
@@ -26,19 +26,19 @@
 			r.WrongAnswers++
 		case gaveUp:
 			r.GaveUp++
-			d.note("%s gave up, last code %d", o.job.nonce, o.code)
+			d.addNote("%s gave up, last code %d", o.job.nonce, o.code)
 		default:
 			r.Failed++
-			d.note("%s failed, code %d", o.job.nonce, o.code)
+			d.addNote("%s failed, code %d", o.job.nonce, o.code)
 		}
 		r.Retried += o.tries - 1
 		r.FalseEnds += o.falseEnds
-		r.CutStreams += o.cutStreams - o.onDead
-		r.CutByKill += o.onDead
+		r.CutStreams += o.cutStreams - o.cutByKill
+		r.CutByKill += o.cutByKill
 	}
 }
 
-// audit compares the stand-ins' counts with the ledger and the limits.
+// audit compares the requests that the stand-ins served with the ledger and the budget limits.
 func (d *demoRun) audit(outcomes []outcome, limits map[string]int64) error {
 	counts, err := d.fleet.counts()
 	if err != nil {
@@ -53,8 +53,8 @@
 	return d.auditBills(outcomes)
 }
 
-// lateAfter is when a leaving server must get no new work any more.
-const lateAfter = 3 * time.Second
+// maxWorkAfterLeave is the time after a server began to leave from which it must get no new requests.
+const maxWorkAfterLeave = 3 * time.Second
 
 func (d *demoRun) auditRuns(outcomes []outcome, limits map[string]int64) error {
 	jobs := map[string]outcome{}
@@ -62,9 +62,9 @@
 		jobs[o.job.nonce] = o
 	}
 	served := map[string]int64{}
-	unbooked := map[string]int64{}
+	unattributed := map[string]int64{}
 	for _, o := range outcomes {
-		unbooked[o.job.budget] -= o.booked
+		unattributed[o.job.budget] -= o.knownSpent
 	}
 	ran := map[string]int{}
 	runs, err := d.allRuns()
@@ -73,9 +73,9 @@
 	}
 	for _, r := range runs {
 		served[jobs[r.Nonce].job.budget] += r.Tokens
-		unbooked[jobs[r.Nonce].job.budget] += r.Tokens
+		unattributed[jobs[r.Nonce].job.budget] += r.Tokens
 		ran[r.Nonce]++
-		if r.AfterLeaving > lateAfter.Milliseconds() {
+		if r.AfterLeaving > maxWorkAfterLeave.Milliseconds() {
 			d.report.LateToLeaving++
 		}
 	}
@@ -84,23 +84,23 @@
 		d.report.Overspend += max(tokens-limits[id], 0)
 	}
 	for nonce, o := range jobs {
-		if o.noBudget && o.margin >= unbooked[o.job.budget] {
+		if o.noBudget && o.margin >= unattributed[o.job.budget] {
 			d.report.FalseRefusals++
 		}
 		if o.job.notRepeatable && ran[nonce] > 1 {
 			d.report.RanTwice++
 		}
-		if o.refusedOnly && ran[nonce] > 0 {
+		if o.allRefused && ran[nonce] > 0 {
 			d.report.NotRunButRan++
-			d.note("%s was refused as not run (code %d) and ran %d times", nonce, o.code, ran[nonce])
+			d.addNote("%s was refused as not run (code %d) and ran %d times", nonce, o.code, ran[nonce])
 		}
 	}
 	return nil
 }
 
-// allRuns returns what all backend servers ran, ended ones too.
+// allRuns returns the runs of all backend servers, including killed ones.
 func (d *demoRun) allRuns() ([]backend.Run, error) {
-	all := slices.Clone(d.goneRuns)
+	all := slices.Clone(d.killedServerRuns)
 	for _, p := range append(slices.Clone(d.fleet.engines), d.fleet.service) {
 		runs, err := d.fleet.runs(p)
 		if err != nil {
@@ -111,8 +111,8 @@
 	return all, nil
 }
 
-// billsSettle is how long held bills may take to reach the store.
-const billsSettle = 8 * time.Second
+// billsTimeout is the maximum time until buffered bills reach the store.
+const billsTimeout = 8 * time.Second
 
 func (d *demoRun) auditBills(outcomes []outcome) error {
 	var bills map[string]map[string]int
@@ -121,10 +121,10 @@
 		bills, err = d.bills()
 		return err == nil && len(unbilled(outcomes, bills)) == 0
 	}
-	_ = waitFor(billsSettle, settled)
+	_ = waitFor(billsTimeout, settled)
 	for _, nonce := range unbilled(outcomes, bills) {
 		d.report.Unbilled++
-		d.note("%s answered and not billed", nonce)
+		d.addNote("%s answered and not billed", nonce)
 	}
 	for _, attempts := range bills {
 		for _, n := range attempts {
@@ -146,8 +146,8 @@
 	return missing
 }
 
-// bills reads the ledger from the store: how often each attempt was billed,
-// by request and claim.
+// bills reads the ledger from the store and returns the number of bills of each
+// attempt, by request and claim.
 func (d *demoRun) bills() (map[string]map[string]int, error) {
 	s := httpstore.New("http://"+d.fleet.platform.addr, 5*time.Second)
 	objects, _, err := s.List(context.Background(), "ledger/")
@@ -177,11 +177,11 @@
 	return bills, nil
 }
 
-// checkRevisions counts routers that are not at the newest committed
-// revision when all is quiet.
+// checkRevisions records a failure if the routers do not converge to the same revision
+// after the load has ended.
 func (d *demoRun) checkRevisions() {
-	if waitFor(readyWithin, d.sameRevision) != nil {
+	if waitFor(readyTimeout, d.sameRevision) != nil {
 		d.report.TableReverted++
-		d.note("routers ended at different revisions")
+		d.addNote("routers ended at different revisions")
 	}
 }
--- a/lab/curve.go
+++ b/lab/curve.go
@@ -24,14 +24,14 @@
 	return cmd
 }
 
-// holds are the settings of budgets.hold that are compared.
+// holds are the compared values of the setting budgets.hold.
 var holds = []time.Duration{
 	250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second,
 	5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second,
 }
 
-// curveScenario has an outage while there is plenty, and later two routers
-// that die together, so that what they held is written off.
+// curveScenario has a store outage while most tokens are unspent, and later kills two
+// routers at the same time, so that the tokens they hold are written off.
 func curveScenario(hold time.Duration) policy.Scenario {
 	s := policy.Base(3, time.Millisecond)
 	s.Hold = hold
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -24,11 +24,11 @@
 	"github.com/gaplink/gaplink/wait"
 )
 
-// errFailed ends a command with exit code 1 after its report.
+// errFailed makes a command exit with code 1 after it has printed its report.
 var errFailed = errors.New("a figure that must be 0 is not")
 
-// Report is the demo's one JSON line. All counts are the stand-ins' and the
-// load sender's.
+// Report is the JSON line that the demo prints. All counts come from the stand-ins
+// and the load sender.
 type Report struct {
 	Requests      int   `json:"requests"`
 	Answered      int   `json:"answered"`
@@ -61,7 +61,7 @@
 	Millis        int64 `json:"millis"`
 }
 
-// mustBeZero lists the figures that decide the exit code.
+// mustBeZero returns the figures that must be 0 for exit code 0, by JSON name.
 func (r *Report) mustBeZero() map[string]int64 {
 	return map[string]int64{
 		"overspend_tokens": r.Overspend,
@@ -104,8 +104,8 @@
 	return cmd
 }
 
-// demoAccounts are the client accounts: one with plenty, one whose budget
-// runs out.
+// demoAccounts returns the client accounts. The budget "tagging" runs out, the others
+// do not.
 func demoAccounts() []accountSpec {
 	return []accountSpec{
 		{ID: "tsukushi", Budgets: map[string]int64{"reviews": 100000, "tagging": 2000}},
@@ -136,10 +136,10 @@
 		return err
 	}
 	_, _ = fmt.Fprintln(out, string(line))
-	return d.verdict(out, report)
+	return d.checkReport(out, report)
 }
 
-// demoRun is one demonstration.
+// demoRun is the state of one run of the demo command.
 type demoRun struct {
 	fleet   *fleet
 	options demoOptions
@@ -150,17 +150,17 @@
 	killed map[string]bool // caller addresses of killed routers
 	notes  []string
 
-	// goneRuns are the runs of backend servers that were ended.
-	goneRuns []backend.Run
+	// killedServerRuns are the runs of killed backend servers.
+	killedServerRuns []backend.Run
 }
 
-func (d *demoRun) note(format string, args ...any) {
+func (d *demoRun) addNote(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.notes = append(d.notes, fmt.Sprintf(format, args...))
 }
 
-func (d *demoRun) verdict(out io.Writer, r *Report) error {
+func (d *demoRun) checkReport(out io.Writer, r *Report) error {
 	var bad []string
 	for name, v := range r.mustBeZero() {
 		if v != 0 {
@@ -187,7 +187,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("set up: %w", err)
 	}
-	if err := waitFor(readyWithin, func() bool { return d.sameRevision() }); err != nil {
+	if err := waitFor(readyTimeout, func() bool { return d.sameRevision() }); err != nil {
 		return nil, err
 	}
 	s := newSender(d.loadSpec(accounts, keys), limitsOf(accounts))
@@ -195,17 +195,17 @@
 	began := time.Now()
 	outcomes := d.load(s)
 	d.report.Millis = time.Since(began).Milliseconds()
-	for _, w := range s.wrongLog {
-		d.note("%s", w)
+	for _, w := range s.wrongAnswers {
+		d.addNote("%s", w)
 	}
 	d.count(outcomes)
 	return &d.report, d.audit(outcomes, s.limits)
 }
 
-// load sends the requests, and goes on in further rounds until all faults are
-// through, a minute at most.
+// load sends the requests in rounds until all faults have been injected, and lasts for a
+// minute plus one round at most.
 func (d *demoRun) load(s *sender) []outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), faultsWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), faultsTimeout)
 	defer cancel()
 	injected := make(chan struct{})
 	go func() {
@@ -223,8 +223,8 @@
 	}
 }
 
-// faultsWithin bounds the playing of all faults.
-const faultsWithin = time.Minute
+// faultsTimeout is the maximum time for the injection of all faults.
+const faultsTimeout = time.Minute
 
 func limitsOf(accounts []accountSpec) map[string]int64 {
 	limits := map[string]int64{}
@@ -243,7 +243,7 @@
 		seed:     d.options.seed,
 		keys:     keys,
 		budgets:  map[string][]string{},
-		killed:   d.wasKilled,
+		mayCut:   d.wasKilled,
 	}
 	for _, r := range d.fleet.routers {
 		spec.routers = append(spec.routers, r.settings.Listen.Callers)
@@ -269,7 +269,8 @@
 	return d.killed[addr]
 }
 
-// revision asks a router for the configuration revision in force.
+// revision returns the configuration revision in force at a router, and whether the
+// router answered.
 func (d *demoRun) revision(r *routerNode) (int64, bool) {
 	var h struct {
 		Revision int64 `json:"revision"`
@@ -287,33 +288,32 @@
 	return ok
 }
 
-// inject brings the chosen faults in, one after the other, while the load
-// runs.
+// inject injects the selected faults one after the other while the load runs.
 func (d *demoRun) inject(ctx context.Context) {
 	for _, name := range strings.Split(d.options.faults, ",") {
 		if name == "" {
 			continue
 		}
-		if wait.For(ctx, faultsPause) != nil {
-			d.missed(name, errLoadEnded)
+		if wait.For(ctx, faultInterval) != nil {
+			d.recordMissedFault(name, errLoadEnded)
 			continue
 		}
 		if err := d.fault(ctx, name); err != nil {
-			d.missed(name, err)
+			d.recordMissedFault(name, err)
 		}
 	}
 }
 
-// faultsPause is the pause before each fault.
-const faultsPause = 300 * time.Millisecond
+// faultInterval is the pause before each fault.
+const faultInterval = 300 * time.Millisecond
 
-// errLoadEnded is why a fault was not injected.
+// errLoadEnded is the reason of a fault that was not injected in time.
 var errLoadEnded = errors.New("the load had ended")
 
-// missed counts a fault that was not played as asked: a demo that withstood
-// fewer faults must not pass for one that withstood them all.
-func (d *demoRun) missed(name string, err error) {
-	d.note("fault %s: %v", name, err)
+// recordMissedFault counts a fault that was not injected as requested. A demo run with fewer faults
+// than requested must not pass.
+func (d *demoRun) recordMissedFault(name string, err error) {
+	d.addNote("fault %s: %v", name, err)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.report.FaultsMissed++
@@ -334,13 +334,13 @@
 	case "lost":
 		return d.during(ctx, standin.Faults{LoseAnswers: 0.3, DelayMillis: 5}, 3*time.Second)
 	case "cut":
-		return d.cut(ctx)
+		return d.partition(ctx)
 	case "race":
 		return d.race()
 	case "drain":
 		return d.drain(ctx, last)
 	case "short":
-		return d.shortAnswers(ctx)
+		return d.truncateAnswers(ctx)
 	case "engine":
 		return d.killEngine()
 	default:
@@ -366,8 +366,8 @@
 	return d.fleet.startRouter(r)
 }
 
-// cut parts the first router from the others while a budget is topped up.
-func (d *demoRun) cut(ctx context.Context) error {
+// partition partitions the first router from the others while a budget is topped up.
+func (d *demoRun) partition(ctx context.Context) error {
 	routers := d.fleet.routers
 	alone := host(routers[0].settings.Listen.Peers)
 	for _, r := range routers[1:] {
@@ -382,22 +382,22 @@
 	return err
 }
 
-// topUpTokens is what the small budget is topped up by during a cut.
+// topUpTokens is the number of tokens added to the small budget during a network partition.
 const topUpTokens = 300
 
-// topUp raises the small budget through a router on one side of the cut. The
-// sender's books know the new limit only when the store has it, so that it
-// counts no refusal before as false.
+// topUp raises the small budget through a router on one side of the partition. The
+// sender learns the new limit only after the store has it, so that it does not count
+// earlier refusals as false.
 func (d *demoRun) topUp(r *routerNode) error {
 	op := newOperator("topup", r.settings.Listen.Peers)
 	if err := op.do(admin.BudgetTopUp, admin.BudgetArgs{ID: "tagging", Tokens: topUpTokens}, nil); err != nil {
 		return err
 	}
-	d.sender.raise("tagging", topUpTokens)
+	d.sender.topUp("tagging", topUpTokens)
 	return nil
 }
 
-// race lets two operators edit the same row at once, through two routers.
+// race lets two operators edit the same row concurrently through two routers.
 func (d *demoRun) race() error {
 	st := newOperator("look", d.fleet.routers[0].settings.Listen.Peers)
 	const row = "*/tagger/new"
@@ -442,7 +442,7 @@
 	wg.Wait()
 }
 
-// drain lets a backend server leave and stops a router as planned.
+// drain lets a backend server leave, and gracefully restarts a router.
 func (d *demoRun) drain(ctx context.Context, r *routerNode) error {
 	leaving := d.fleet.engines[len(d.fleet.engines)-1]
 	if err := d.fleet.putTo(leaving.addr, "/standin/leave", struct{}{}); err != nil {
@@ -457,22 +457,22 @@
 	return d.fleet.startRouter(r)
 }
 
-// shortEvery makes one in so many answers of the backend servers short, and
-// shortFor is how long each way of it lasts.
+// One in truncateEvery answers of the backend servers is truncated. truncateFor is the
+// duration of each kind of truncation.
 const (
-	shortEvery = 5
-	shortFor   = 700 * time.Millisecond
+	truncateEvery = 5
+	truncateFor   = 700 * time.Millisecond
 )
 
-// shortAnswers lets the backend servers end some answers half way: broken off,
-// without framing, and framed as whole.
-func (d *demoRun) shortAnswers(ctx context.Context) error {
-	d.excuseCuts()
+// truncateAnswers lets the backend servers truncate some answers: by closing the connection,
+// without framing, and with framing that marks the answer as complete.
+func (d *demoRun) truncateAnswers(ctx context.Context) error {
+	d.permitCuts()
 	for _, kind := range []backend.Fault{backend.Cut, backend.Unframed, backend.Early} {
-		if err := d.setFaults(backend.Faults{Kind: kind, Every: shortEvery}); err != nil {
+		if err := d.setFaults(backend.Faults{Kind: kind, Every: truncateEvery}); err != nil {
 			return err
 		}
-		_ = wait.For(ctx, shortFor)
+		_ = wait.For(ctx, truncateFor)
 	}
 	return d.setFaults(backend.Faults{})
 }
@@ -486,10 +486,9 @@
 	return nil
 }
 
-// excuseCuts tells that streams may be cut from now on at every router: one
-// that had begun when its backend server failed cannot be made whole by the
-// router; its caller retries.
-func (d *demoRun) excuseCuts() {
+// permitCuts permits cut streams at every router from now on. A router cannot complete
+// a stream that had begun when its backend server failed; the caller retries.
+func (d *demoRun) permitCuts() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range d.fleet.routers {
@@ -497,16 +496,16 @@
 	}
 }
 
-// killEngine ends a model backend server with open streams. What it has run is
-// asked for just before, since nobody else can tell what it served.
+// killEngine kills a model backend server with open streams. It reads the server's runs
+// just before, since no other process has this record.
 func (d *demoRun) killEngine() error {
-	d.excuseCuts()
+	d.permitCuts()
 	last := d.fleet.engines[len(d.fleet.engines)-1]
 	runs, err := d.fleet.runs(last)
 	if err != nil {
 		return err
 	}
-	d.goneRuns = append(d.goneRuns, runs...)
+	d.killedServerRuns = append(d.killedServerRuns, runs...)
 	last.end()
 	d.fleet.engines = d.fleet.engines[:len(d.fleet.engines)-1]
 	return nil
--- a/lab/demo_test.go
+++ b/lab/demo_test.go
@@ -11,11 +11,10 @@
 	"github.com/gaplink/gaplink/backend"
 )
 
-// TestDemoTellsOfFaultsThatWereNotInjected: a demo whose load had ended before
-// its faults were through, or that was given a fault it does not know, passed like
-// one that had withstood them. The notes that say so are printed only when another
-// figure fails.
-func TestDemoTellsOfFaultsThatWereNotInjected(t *testing.T) {
+// Guards against a demo that passes although its load ended before all faults were
+// injected, or although it was given an unknown fault. The notes about missed faults are
+// printed only when a figure fails, so missed faults must themselves be such a figure.
+func TestDemoFailsOnFaultsNotInjected(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	for name, c := range map[string]struct {
@@ -40,11 +39,10 @@
 	}
 }
 
-// TestAuditCountsAKilledEngine: what a backend server had served before the
-// demo ended it was in no count, so that an overspend there was not seen and
-// refusals for want of the tokens counted as false. Its runs were asked for after
-// the load, when it could not answer.
-func TestAuditCountsAKilledEngine(t *testing.T) {
+// Guards against losing the runs of a backend server that the demo killed: its runs were
+// read after the load, when it could no longer answer, so that an overspend there was not
+// detected and refusals because of the spent tokens counted as false.
+func TestAuditCountsKilledEngine(t *testing.T) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode([]backend.Run{{Nonce: "n1", Tokens: 700}})
 	}))
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -26,14 +26,14 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// process is one started program.
+// process is a started child process.
 type process struct {
 	cmd  *exec.Cmd
-	addr string        // the first line that a stand-in prints
-	done chan struct{} // closed when the process has ended
+	addr string        // listen address, which a stand-in prints as its first line
+	done chan struct{} // closed when the process has exited
 }
 
-// launch starts the program and reaps it when it ends.
+// launch starts the process and waits for its exit in the background.
 func (p *process) launch() error {
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// start runs a program; its logs go to a file.
+// start prepares a program from the directory of this executable, with its logs
+// appended to a file. The caller launches it.
 func start(dir, name string, args ...string) (*process, error) {
 	logs, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return &process{cmd: cmd}, nil
 }
 
-// startStandin runs a stand-in and reads its address.
+// startStandin starts a stand-in and reads its address.
 func startStandin(dir, name string, args ...string) (*process, error) {
 	p, err := start(dir, name, append([]string{"gaplink-lab"}, args...)...)
 	if err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// end kills the process and waits until it is gone.
+// end kills the process and waits for its exit.
 func (p *process) end() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
@@ -93,14 +94,14 @@
 
 // routerNode is one router of the fleet.
 type routerNode struct {
-	id       string
-	settings settings.Settings
-	path     string
-	listed   string // the relay's address
-	process  *process
+	id        string
+	settings  settings.Settings
+	path      string
+	relayAddr string // address of its relay, by which the platform lists it
+	process   *process
 }
 
-// fleet is a platform, backend servers and routers as separate processes on
+// fleet is a platform stand-in, backend servers and routers, as separate processes on
 // loopback.
 type fleet struct {
 	dir      string
@@ -117,7 +118,7 @@
 	return &fleet{dir: dir, relays: newRelays(), http: &http.Client{Timeout: 5 * time.Second}}
 }
 
-// startAll starts everything and waits until the routers are ready.
+// startAll starts all processes and waits until the routers are ready.
 func (f *fleet) startAll(routers, engines int, seed uint64) error {
 	var err error
 	if f.platform, err = startStandin(f.dir, "platform", "platform", "--seed", fmt.Sprint(seed)); err != nil {
@@ -138,10 +139,10 @@
 			return err
 		}
 	}
-	return waitFor(readyWithin, f.ready)
+	return waitFor(readyTimeout, f.ready)
 }
 
-// addRouter writes a router's settings, lists it and starts it.
+// addRouter writes a router's settings file, lists the router at the platform and starts it.
 func (f *fleet) addRouter(n int) error {
 	ip := fmt.Sprintf("127.0.1.%d", n)
 	s := settings.Default()
@@ -159,7 +160,7 @@
 		return err
 	}
 	r := &routerNode{id: s.Instance.ID, settings: s, path: filepath.Join(f.dir, s.Instance.ID+".toml")}
-	if r.listed, err = f.relays.add(s.Listen.Peers); err != nil {
+	if r.relayAddr, err = f.relays.add(s.Listen.Peers); err != nil {
 		return err
 	}
 	text, err := toml.Marshal(s)
@@ -173,7 +174,7 @@
 	return f.startRouter(r)
 }
 
-// startRouter lists a router as live and starts its process.
+// startRouter lists a router as live at the platform and starts its process.
 func (f *fleet) startRouter(r *routerNode) error {
 	if err := f.list(r, membership.Live); err != nil {
 		return err
@@ -190,11 +191,11 @@
 	return nil
 }
 
-// exitFenced is gaplinkd's exit code when the fleet took it to be dead.
+// exitFenced is the exit code of gaplinkd after the fleet declared it dead.
 const exitFenced = 1
 
-// supervise starts a router anew that ended by itself, as an instance's
-// supervisor does.
+// supervise restarts a router that exited because it was fenced, as the supervisor of an
+// instance does.
 func (f *fleet) supervise(r *routerNode, p *process) {
 	<-p.done
 	if p.cmd.ProcessState.ExitCode() == exitFenced && !f.stopped.Load() {
@@ -203,7 +204,7 @@
 }
 
 func (f *fleet) list(r *routerNode, state membership.State) error {
-	m := membership.Member{ID: r.id, Kind: "router", Addr: r.listed, Domain: r.settings.Instance.Domain, State: state}
+	m := membership.Member{ID: r.id, Kind: "router", Addr: r.relayAddr, Domain: r.settings.Instance.Domain, State: state}
 	return f.put("/standin/instances/"+r.id, m)
 }
 
@@ -225,7 +226,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// put sends JSON to the platform stand-in's own side.
+// put sends JSON to the control endpoints of the platform stand-in.
 func (f *fleet) put(path string, v any) error {
 	return f.putTo(f.platform.addr, path, v)
 }
@@ -275,7 +276,7 @@
 	return runs, err
 }
 
-// pools describes the backend servers as two sites of one model and a plain
+// pools returns the pools of the backend servers: one model at two sites, and a plain
 // service.
 func (f *fleet) pools() []table.Pool {
 	sites := []string{"old", "new"}
@@ -293,7 +294,7 @@
 	return pools
 }
 
-// stopAll ends all processes that were started.
+// stopAll kills all processes that were started.
 func (f *fleet) stopAll() {
 	f.stopped.Store(true)
 	for _, r := range f.routers {
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab runs gaplink against small stand-ins: one process for a first
-// try, a fleet of processes under faults, and measurements. What it reports
-// is counted by the stand-ins and the load sender, not by the routers.
+// Package lab runs gaplink against stand-ins of its environment: a single process for
+// first steps, a fleet of processes with injected faults, and benchmarks. The reported
+// figures are counted by the stand-ins and the load sender, not by the routers.
 package lab
 
 import (
@@ -38,7 +38,7 @@
 	return 0
 }
 
-// serveUntilSignal serves a stand-in and prints its address first.
+// serveUntilSignal prints the address of a stand-in and serves it until SIGTERM or SIGINT.
 func serveUntilSignal(out io.Writer, listen string, h http.Handler) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/lab/latency.go
+++ b/lab/latency.go
@@ -34,26 +34,26 @@
 	}
 }
 
-// streamFigures are the figures of many streams.
+// streamFigures contains the latencies and allocations of many streams.
 type streamFigures struct {
 	first, whole *hdrhistogram.Histogram // microseconds
-	allocs       float64                 // a token
+	allocs       float64                 // per token
 }
 
 func latency(out io.Writer) error {
 	platform := standin.New(standin.Limits{}, 1)
-	addr, err := embedded(platform)
+	addr, err := serveLocal(platform)
 	if err != nil {
 		return err
 	}
 	var r *router.Router
 	for i := range latencyRouters {
-		if r, err = quietRouter(platform, addr, i); err != nil {
+		if r, err = startLocalRouter(platform, addr, i); err != nil {
 			return err
 		}
 		defer r.Kill()
 	}
-	engineAddr, err := embedded(backend.NewEngine(0))
+	engineAddr, err := serveLocal(backend.NewEngine(0))
 	if err != nil {
 		return err
 	}
@@ -88,14 +88,14 @@
 		name, f.first.ValueAtQuantile(50), f.first.ValueAtQuantile(99), f.whole.ValueAtQuantile(50), f.whole.ValueAtQuantile(99), f.allocs)
 }
 
-// streams sends one stream after the other.
+// streams sends requests for streamed answers one after the other and measures them.
 func streams(addr, key string) (streamFigures, error) {
 	f := streamFigures{first: hdrhistogram.New(1, maxMicros, 3), whole: hdrhistogram.New(1, maxMicros, 3)}
 	prompt := longPrompt()
 	var before, after runtime.MemStats
 	tokens := 0
 	for i := range latencyStreams + 20 {
-		if i == 20 { // the first ones warm up
+		if i == 20 { // warm-up is over
 			f.first.Reset()
 			f.whole.Reset()
 			tokens = 0
@@ -112,7 +112,7 @@
 	return f, nil
 }
 
-// longPrompt returns a prompt whose answer nearly fills the cap.
+// longPrompt returns the prompt, of 50 candidates, with the longest answer.
 func longPrompt() string {
 	type candidate struct {
 		prompt string
--- a/lab/load.go
+++ b/lab/load.go
@@ -19,45 +19,45 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// job is one request of the load, with what must come of it.
+// job is one request of the load.
 type job struct {
 	nonce         string
 	account, key  string
 	budget        string
 	maxTokens     int64
 	stream        bool
-	notRepeatable bool // a lookup of the plain service
+	notRepeatable bool // a lookup at the plain service
 }
 
-// end is how a job ended for its caller.
-type end string
+// state is the final state of a job as seen by its caller, or tryAgain.
+type state string
 
 const (
-	answered end = "answered"
-	refused  end = "refused"   // certainly not run
-	unknown  end = "unknown"   // a not-repeatable request without an outcome
-	gaveUp   end = "gave up"   // tries used up
-	failed   end = "failed"    // a final error after dispatch
-	wrong    end = "wrong"     // answered with something else
-	waitMore end = "try again" // not an end
+	answered state = "answered"
+	refused  state = "refused"   // guaranteed not to have run
+	unknown  state = "unknown"   // a not-repeatable request with an unknown outcome
+	gaveUp   state = "gave up"   // maximum number of tries reached
+	failed   state = "failed"    // a final error after dispatch
+	wrong    state = "wrong"     // answered with unexpected content
+	tryAgain state = "try again" // not final: retry
 )
 
-// outcome is a job's end and what the sender saw on the way.
+// outcome is the final state of a job and what the sender observed until then.
 type outcome struct {
-	job         job
-	end         end
-	code        result.Code
-	tokens      int64
-	tries       int
-	cutStreams  int  // answers that began and were broken off
-	falseEnds   int  // answers framed as whole that lack their end
-	onDead      int  // of these, at a router that was being killed
-	refusedOnly bool // every try was refused as not run
-	// noBudget is set for a refusal for want of budget, and margin is what the
-	// sender's books then had left beyond the job's worst case.
-	noBudget bool
-	margin   int64
-	booked   int64 // tokens that the sender knows to be spent for the job
+	job        job
+	end        state
+	code       result.Code
+	tokens     int64
+	tries      int
+	cutStreams int  // answers that were cut off after their start
+	falseEnds  int  // truncated answers with framing that marks them as complete
+	cutByKill  int  // of cutStreams, those at a router whose streams may be cut
+	allRefused bool // every try was refused as not run
+	// noBudget is set if the request was refused because of its budget. margin is what
+	// the budget then had left beyond the job's worst case, by the sender's records.
+	noBudget   bool
+	margin     int64
+	knownSpent int64 // tokens known to have been spent on the job
 }
 
 // loadSpec describes a seeded load.
@@ -68,41 +68,41 @@
 	routers  []string            // caller addresses
 	keys     map[string]string   // by account
 	budgets  map[string][]string // by account
-	// killed tells whether a router's streams may be cut by an injected kill.
-	killed func(addr string) bool
+	// mayCut reports whether streams of a router may be cut because of an injected fault.
+	mayCut func(addr string) bool
 }
 
-// sender sends a load and keeps its own books of each budget.
+// sender sends a load and keeps its own record of the tokens of each budget.
 type sender struct {
 	spec   loadSpec
 	http   *http.Client
 	limits map[string]int64
 
-	mu       sync.Mutex
-	spent    map[string]int64 // answered tokens, and worst cases of what ended unclearly
-	inFlight map[string]int64 // worst cases
-	wrongLog []string
+	mu           sync.Mutex
+	spent        map[string]int64 // tokens of answers, and worst cases of requests with an unknown outcome
+	inFlight     map[string]int64 // worst cases of requests in flight
+	wrongAnswers []string
 }
 
 const (
-	maxTries    = 12
-	triesPause  = 250 * time.Millisecond
-	maxCap      = 40
-	tryDeadline = 20 * time.Second
+	maxTries   = 12
+	retryDelay = 250 * time.Millisecond
+	maxCap     = 40
+	tryTimeout = 20 * time.Second
 )
 
 func newSender(spec loadSpec, limits map[string]int64) *sender {
 	return &sender{
 		spec:     spec,
-		http:     &http.Client{Timeout: tryDeadline, Transport: &http.Transport{MaxIdleConnsPerHost: spec.workers}},
+		http:     &http.Client{Timeout: tryTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: spec.workers}},
 		limits:   limits,
 		spent:    map[string]int64{},
 		inFlight: map[string]int64{},
 	}
 }
 
-// jobs makes a round's seeded list of requests: three in five streamed, one in
-// five whole, one in five a lookup that runs at most once.
+// jobs returns the seeded requests of a round: three in five are streamed, one in
+// five is not, and one in five is a lookup that must run at most once.
 func (s *sender) jobs(round int) []job {
 	rng := rand.New(rand.NewPCG(s.spec.seed, 7+uint64(round)))
 	accounts := sortedKeys(s.spec.keys)
@@ -146,22 +146,22 @@
 	return outcomes
 }
 
-// send tries a job at one router after another until it has an end.
+// send tries a job at one router after the other until it reaches a final state.
 func (s *sender) send(j job, n int) outcome {
-	o := outcome{job: j, refusedOnly: true}
+	o := outcome{job: j, allRefused: true}
 	s.open(j)
 	for o.tries = 1; o.tries <= maxTries; o.tries++ {
 		addr := s.spec.routers[(n+o.tries)%len(s.spec.routers)]
 		got := s.try(&o, addr)
-		if got != waitMore {
+		if got != tryAgain {
 			o.end = got
 			s.close(j, o)
 			return o
 		}
-		time.Sleep(triesPause)
+		time.Sleep(retryDelay)
 	}
 	o.end = gaveUp
-	if o.refusedOnly {
+	if o.allRefused {
 		o.end = refused
 		o.noBudget = o.code == result.BudgetUnreachable
 		o.margin = s.margin(j)
@@ -176,8 +176,8 @@
 	s.inFlight[j.budget] += j.maxTokens
 }
 
-// close books what the job cost: its tokens, or the worst case if it may
-// have run without an answer.
+// close records the cost of the job: its tokens, or the worst case if it may have run
+// without an answer.
 func (s *sender) close(j job, o outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,15 +191,15 @@
 	}
 }
 
-// raise notes that a budget was topped up.
-func (s *sender) raise(budget string, tokens int64) {
+// topUp records a top-up of a budget.
+func (s *sender) topUp(budget string, tokens int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits[budget] += tokens
 }
 
-// margin is what the budget has left beyond the job's worst case, by the
-// sender's own books: others' worst cases in flight counted.
+// margin returns what the budget has left beyond the job's worst case, by the sender's
+// own records. The worst cases of other requests in flight are deducted.
 func (s *sender) margin(j job) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,8 +236,8 @@
 
 func (j job) prompt() string { return j.nonce + " review the dossier" }
 
-// try makes one try at one router.
-func (s *sender) try(o *outcome, addr string) end {
+// try sends the request to one router once.
+func (s *sender) try(o *outcome, addr string) state {
 	req, err := s.request(o.job, addr)
 	if err != nil {
 		return failed
@@ -245,27 +245,27 @@
 	resp, err := s.http.Do(req)
 	if err != nil {
 		if !strings.Contains(err.Error(), "connection refused") {
-			o.refusedOnly = false
+			o.allRefused = false
 		}
-		return waitMore
+		return tryAgain
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return s.notOK(o, resp)
 	}
-	o.refusedOnly = false
+	o.allRefused = false
 	if o.job.stream && !o.job.notRepeatable {
 		return s.readStream(o, resp, addr)
 	}
 	return s.readWhole(o, resp, addr)
 }
 
-// notOK reads a refusal or failure.
-func (s *sender) notOK(o *outcome, resp *http.Response) end {
+// notOK classifies a response with a status other than 200.
+func (s *sender) notOK(o *outcome, resp *http.Response) state {
 	code, _ := strconv.Atoi(resp.Header.Get(filter.HeaderCode))
 	o.code = result.Code(code)
 	if resp.Header.Get(filter.HeaderNotRun) != "true" {
-		o.refusedOnly = false
+		o.allRefused = false
 	}
 	switch o.code {
 	case result.BudgetExhausted:
@@ -275,10 +275,10 @@
 	case result.OutcomeUnknown, result.AlreadyAnswered:
 		return unknown
 	case result.AlreadyRunning:
-		return waitMore
+		return tryAgain
 	}
 	if o.code.Info().HTTPStatus >= http.StatusInternalServerError {
-		return waitMore
+		return tryAgain
 	}
 	return failed
 }
@@ -292,7 +292,7 @@
 	} `json:"choices"`
 }
 
-func (s *sender) readStream(o *outcome, resp *http.Response, addr string) end {
+func (s *sender) readStream(o *outcome, resp *http.Response, addr string) state {
 	text, done, err := readEvents(resp.Body)
 	if done {
 		return s.check(o, text)
@@ -300,16 +300,16 @@
 	if want, _ := backend.Answer(o.job.prompt(), o.job.maxTokens); !strings.HasPrefix(want, text) {
 		return s.wrong(o, text, want)
 	}
-	if err == nil && framing.Proved(resp) { // it claims to be whole
+	if err == nil && framing.Proved(resp) { // the framing marks it as complete
 		o.falseEnds++
-		s.noteWrong("%s: framed as whole at %q, without an end marker", o.job.nonce, text)
+		s.recordWrong("%s: framed as whole at %q, without an end marker", o.job.nonce, text)
 	}
-	s.noteCut(o, addr, int64(strings.Count(text, " ")))
-	return waitMore
+	s.recordCut(o, addr, int64(strings.Count(text, " ")))
+	return tryAgain
 }
 
-// readEvents reads a stream's text to the end of its body. done tells whether
-// its end marker came, and err how the body ended.
+// readEvents reads the text of a stream until the end of the body. done reports whether
+// the end marker arrived; err is the error that ended the body, if any.
 func readEvents(body io.Reader) (text string, done bool, err error) {
 	var b strings.Builder
 	lines := bufio.NewScanner(body)
@@ -330,19 +330,19 @@
 	return b.String(), done, lines.Err()
 }
 
-// noteCut counts a cut stream; the tokens received so far are spent.
-func (s *sender) noteCut(o *outcome, addr string, tokens int64) {
+// recordCut counts a cut stream. The tokens received so far have been spent.
+func (s *sender) recordCut(o *outcome, addr string, tokens int64) {
 	s.mu.Lock()
 	s.spent[o.job.budget] += tokens
 	s.mu.Unlock()
-	o.booked += tokens
+	o.knownSpent += tokens
 	o.cutStreams++
-	if s.spec.killed != nil && s.spec.killed(addr) {
-		o.onDead++
+	if s.spec.mayCut != nil && s.spec.mayCut(addr) {
+		o.cutByKill++
 	}
 }
 
-// wholeAnswer is the part of a whole chat answer that the sender reads.
+// wholeAnswer is the part of an unstreamed chat answer that the sender reads.
 type wholeAnswer struct {
 	Choices []struct {
 		Message struct {
@@ -351,11 +351,11 @@
 	} `json:"choices"`
 }
 
-func (s *sender) readWhole(o *outcome, resp *http.Response, addr string) end {
+func (s *sender) readWhole(o *outcome, resp *http.Response, addr string) state {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		s.noteCut(o, addr, 0)
-		return waitMore
+		s.recordCut(o, addr, 0)
+		return tryAgain
 	}
 	if o.job.notRepeatable {
 		return s.check(o, string(body))
@@ -367,8 +367,8 @@
 	return s.check(o, answer.Choices[0].Message.Content)
 }
 
-// check compares the answer with what the backend server gives for the job.
-func (s *sender) check(o *outcome, text string) end {
+// check compares the answer with the expected answer of the backend server.
+func (s *sender) check(o *outcome, text string) state {
 	want, tokens := backend.ServiceAnswer([]byte(o.job.prompt())), int64(0)
 	if !o.job.notRepeatable {
 		want, tokens = backend.Answer(o.job.prompt(), o.job.maxTokens)
@@ -377,18 +377,18 @@
 		return s.wrong(o, text, want)
 	}
 	o.tokens = tokens
-	o.booked += tokens
+	o.knownSpent += tokens
 	return answered
 }
 
-// wrong ends a job whose answer is not what the backend server gives.
-func (s *sender) wrong(o *outcome, got, want string) end {
-	s.noteWrong("%s: got %q, want %q", o.job.nonce, got, want)
+// wrong records an unexpected answer.
+func (s *sender) wrong(o *outcome, got, want string) state {
+	s.recordWrong("%s: got %q, want %q", o.job.nonce, got, want)
 	return wrong
 }
 
-func (s *sender) noteWrong(format string, args ...any) {
+func (s *sender) recordWrong(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrongLog = append(s.wrongLog, fmt.Sprintf(format, args...))
+	s.wrongAnswers = append(s.wrongAnswers, fmt.Sprintf(format, args...))
 }
--- a/lab/load_test.go
+++ b/lab/load_test.go
@@ -13,10 +13,10 @@
 	"github.com/gaplink/gaplink/backend"
 )
 
-// judged sends a job once to a router that answers its first try so, and any
-// other try well, and returns the figures that decide the demo's exit code.
-// Cuts are excused, as after a kill.
-func judged(t *testing.T, j job, first http.HandlerFunc) (report Report, bad int64) {
+// runJob sends a job to a router that answers the first try with first and any other try
+// correctly. It returns the report and the sum of the figures that must be 0. Cut streams
+// are permitted, as after a kill.
+func runJob(t *testing.T, j job, first http.HandlerFunc) (report Report, bad int64) {
 	t.Helper()
 	var tries atomic.Int64
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -25,13 +25,13 @@
 			first(w, r)
 			return
 		}
-		answerWell(w, j)
+		answerCorrectly(w, j)
 	}))
 	t.Cleanup(web.Close)
 	s := newSender(loadSpec{
 		workers: 1,
 		routers: []string{web.Listener.Addr().String()},
-		killed:  func(string) bool { return true },
+		mayCut:  func(string) bool { return true },
 	}, map[string]int64{})
 	d := &demoRun{}
 	d.count(s.run([]job{j}))
@@ -41,7 +41,7 @@
 	return d.report, bad
 }
 
-func answerWell(w http.ResponseWriter, j job) {
+func answerCorrectly(w http.ResponseWriter, j job) {
 	text, _ := backend.Answer(j.prompt(), j.maxTokens)
 	if !j.stream {
 		writeChat(w, text)
@@ -69,11 +69,10 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// TestSenderJudgesFalseEnds: a router that ended a stream early with a proper
-// last chunk was counted like one that was cut, and excused while cuts are
-// expected, so that no demo would have told of it. The sender looked for the end
-// marker and never at how HTTP's framing ended.
-func TestSenderJudgesFalseEnds(t *testing.T) {
+// Guards against taking a stream that a router ended early with a valid last chunk for a
+// cut stream, which is permitted while cuts are expected: the sender looked only for the
+// end marker and not at how the HTTP framing ended, so the demo did not report it.
+func TestSenderDetectsFalseEnds(t *testing.T) {
 	stream := job{nonce: "n1", maxTokens: 40, stream: true}
 	whole := job{nonce: "n1", maxTokens: 40}
 	text, _ := backend.Answer(stream.prompt(), stream.maxTokens)
@@ -109,7 +108,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r, bad := judged(t, c.job, func(w http.ResponseWriter, _ *http.Request) { c.first(w) })
+			r, bad := runJob(t, c.job, func(w http.ResponseWriter, _ *http.Request) { c.first(w) })
 			if c.bad != (bad > 0) {
 				t.Errorf("%d figures are not 0: %+v", bad, r)
 			}
--- a/lab/moves.go
+++ b/lab/moves.go
@@ -38,26 +38,26 @@
 	return amplification(out)
 }
 
-// bench is a few routers and engines in this process.
-type bench struct {
-	platform *standin.Platform
-	addr     string
-	mu       sync.Mutex
-	routers  []*router.Router
-	engines  []*backend.Engine
-	servers  []table.Server
-	key      string
-	names    int
+// localFleet runs routers and backend servers in this process.
+type localFleet struct {
+	platform   *standin.Platform
+	addr       string
+	mu         sync.Mutex
+	routers    []*router.Router
+	engines    []*backend.Engine
+	servers    []table.Server
+	key        string
+	lastServer int
 }
 
-func newBench(routers, engines int) (*bench, error) {
-	b := &bench{platform: standin.New(standin.Limits{}, 1)}
+func newLocalFleet(routers, engines int) (*localFleet, error) {
+	b := &localFleet{platform: standin.New(standin.Limits{}, 1)}
 	var err error
-	if b.addr, err = embedded(b.platform); err != nil {
+	if b.addr, err = serveLocal(b.platform); err != nil {
 		return nil, err
 	}
 	for i := range routers {
-		r, err := quietRouter(b.platform, b.addr, i)
+		r, err := startLocalRouter(b.platform, b.addr, i)
 		if err != nil {
 			return nil, err
 		}
@@ -73,50 +73,51 @@
 	return b, err
 }
 
-func (b *bench) operator() *operator { return newOperator("bench", b.router(0).PeersAddr()) }
+func (b *localFleet) operator() *operator { return newOperator("bench", b.router(0).PeersAddr()) }
 
-func (b *bench) pool() table.Pool {
+func (b *localFleet) pool() table.Pool {
 	return table.Pool{Name: "m", Kind: table.Model, Target: "tagger", Site: "old", Servers: append([]table.Server(nil), b.servers...)}
 }
 
-// addEngine starts an engine under a new name.
-func (b *bench) addEngine() error {
+// addEngine starts a backend server with a new name.
+func (b *localFleet) addEngine() error {
 	e := backend.NewEngine(3 * time.Millisecond)
-	addr, err := embedded(e)
+	addr, err := serveLocal(e)
 	if err != nil {
 		return err
 	}
-	b.names++
+	b.lastServer++
 	b.engines = append(b.engines, e)
-	b.servers = append(b.servers, table.Server{ID: fmt.Sprintf("e%d", b.names), Addr: addr})
+	b.servers = append(b.servers, table.Server{ID: fmt.Sprintf("e%d", b.lastServer), Addr: addr})
 	return nil
 }
 
-func (b *bench) router(i int) *router.Router {
+func (b *localFleet) router(i int) *router.Router {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.routers[i]
 }
 
-func (b *bench) kill() {
+func (b *localFleet) kill() {
 	for i := range b.routers {
 		b.router(i).Kill()
 	}
 }
 
-// load sends streams, one after the other, until the context ends.
+// load counts the outcomes of streams that send sends one after the other until the
+// context ends.
 type load struct {
 	sent, answered, cut, wrong, refused atomic.Int64
 }
 
-func (b *bench) send(ctx context.Context, l *load, worker int) {
+func (b *localFleet) send(ctx context.Context, l *load, worker int) {
 	s := newSender(loadSpec{workers: 1}, map[string]int64{"a": 1 << 40})
 	for i := 0; ctx.Err() == nil; i++ {
-		o := outcome{job: job{nonce: fmt.Sprintf("w%d-%d", worker, i), key: b.key, budget: "a", maxTokens: maxCap, stream: true}, refusedOnly: true}
+		o := outcome{job: job{nonce: fmt.Sprintf("w%d-%d", worker, i), key: b.key, budget: "a", maxTokens: maxCap, stream: true}, allRefused: true}
 		l.sent.Add(1)
 		for try := range maxTries {
 			got := s.try(&o, b.router((worker+i+try)%len(b.routers)).CallersAddr())
-			if got == waitMore {
+			if got == tryAgain {
 				l.refused.Add(1)
 				time.Sleep(20 * time.Millisecond)
 				continue
@@ -132,10 +133,10 @@
 	}
 }
 
-// drains lets a backend server leave, then stops a router as planned, and so
-// on, under load.
+// drains alternates between replacing a backend server and gracefully restarting a
+// router, under load.
 func drains(out io.Writer, rounds int) error {
-	b, err := newBench(3, 3)
+	b, err := newLocalFleet(3, 3)
 	if err != nil {
 		return err
 	}
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// replaceEngine lets a server leave and brings a new one into its place.
-func (b *bench) replaceEngine(i int) error {
+// replaceEngine lets a server leave and adds a new one in its place.
+func (b *localFleet) replaceEngine(i int) error {
 	leaving := b.engines[len(b.engines)-len(b.servers)+i]
 	leaving.Leave()
 	if err := b.addEngine(); err != nil {
@@ -189,13 +190,13 @@
 	return nil
 }
 
-// restartRouter stops a router as planned while streams run, and starts one
-// anew in its place.
-func (b *bench) restartRouter(ctx context.Context, i int) error {
-	stopCtx, cancel := context.WithTimeout(ctx, readyWithin)
+// restartRouter gracefully stops a router while streams run, and starts a new one in its
+// place.
+func (b *localFleet) restartRouter(ctx context.Context, i int) error {
+	stopCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	b.router(i).Stop(stopCtx)
-	fresh, err := quietRouter(b.platform, b.addr, i)
+	fresh, err := startLocalRouter(b.platform, b.addr, i)
 	if err != nil {
 		return err
 	}
@@ -205,13 +206,14 @@
 	return nil
 }
 
-// audit counts late work and repeated requests, by what the engines saw.
-func (b *bench) audit() (late, repeated int) {
+// audit counts requests that reached a server too long after it began to leave, and
+// requests that ran more than once, from the records of the backend servers.
+func (b *localFleet) audit() (late, repeated int) {
 	ran := map[string]int{}
 	for _, e := range b.engines {
 		for _, r := range e.Runs() {
 			ran[r.Nonce]++
-			if r.AfterLeaving > lateAfter.Milliseconds() {
+			if r.AfterLeaving > maxWorkAfterLeave.Milliseconds() {
 				late++
 			}
 		}
@@ -230,10 +232,10 @@
 	slowRounds  = 30
 )
 
-// slowChanges times changes from the operator's command until all routers
-// have them in force, with a slow store.
+// slowChanges measures the time from an operator's command until the change is in force
+// at all routers, with a slow store.
 func slowChanges(out io.Writer) error {
-	b, err := newBench(slowRouters, 1)
+	b, err := newLocalFleet(slowRouters, 1)
 	if err != nil {
 		return err
 	}
@@ -247,7 +249,7 @@
 		if err := b.operator().do(admin.TableSet, args, &final); err != nil {
 			return err
 		}
-		if err := waitFor(readyWithin, func() bool { return b.allAt(final.Revision) }); err != nil {
+		if err := waitFor(readyTimeout, func() bool { return b.allAt(final.Revision) }); err != nil {
 			return err
 		}
 		_ = times.RecordValue(time.Since(began).Milliseconds())
@@ -257,7 +259,7 @@
 	return nil
 }
 
-func (b *bench) allAt(revision int64) bool {
+func (b *localFleet) allAt(revision int64) bool {
 	for i := range b.routers {
 		if b.router(i).Revision() < revision {
 			return false
@@ -266,9 +268,9 @@
 	return true
 }
 
-// amplification counts attempts for each request while a whole pool refuses.
+// amplification measures the attempts per request while all servers of a pool refuse.
 func amplification(out io.Writer) error {
-	b, err := newBench(1, 3)
+	b, err := newLocalFleet(1, 3)
 	if err != nil {
 		return err
 	}
--- a/lab/operator.go
+++ b/lab/operator.go
@@ -11,12 +11,12 @@
 	"github.com/gaplink/gaplink/table"
 )
 
-// operatorKey is the operators' key of lab fleets.
+// operatorKey is the operator key of lab fleets.
 const operatorKey = "lab-operator-key"
 
 const operatorTimeout = 15 * time.Second
 
-// operator gives commands to a router, as gaplinkctl does.
+// operator sends admin commands to a router, as gaplinkctl does.
 type operator struct {
 	peers *peer.Client
 	name  string
@@ -46,14 +46,14 @@
 	return json.Unmarshal(resp.Result, into)
 }
 
-// accountSpec is a client account with budgets to set up.
+// accountSpec is a client account to create, with the limits of its budgets.
 type accountSpec struct {
 	ID      string
 	Budgets map[string]int64
 }
 
-// setUp creates accounts, keys, budgets, pools and rows; it returns the keys
-// by account.
+// setUp creates accounts, keys, budgets, pools and table rows. It returns the keys by
+// account.
 func (o *operator) setUp(accounts []accountSpec, pools []table.Pool) (map[string]string, error) {
 	keys := map[string]string{}
 	for _, a := range accounts {
--- a/lab/policy.go
+++ b/lab/policy.go
@@ -16,14 +16,14 @@
 // Bounds of the chosen policy, checked by `policy --check`. They apply to
 // deterministic results of seeded runs.
 const (
-	maxFalseCalm   = 0.1 // percent of requests, without faults
-	maxFalseFaults = 1.0 // percent of requests, with the fault mix
-	maxLeftCalm    = 0.5 // percent of the budgets that ran out, without faults
-	timesBetter    = 10  // minimum factor between the false refusals of equal static shares and those of the chosen policy
-	maxWrites      = 100 // store writes per second
+	maxFalseNoFaults = 0.1 // percent of requests, without faults
+	maxFalseFaults   = 1.0 // percent of requests, with the fault mix
+	maxLeftNoFaults  = 0.5 // percent of the budgets that ran out, without faults
+	minImprovement   = 10  // minimum factor between the false refusals of equal static shares and those of the chosen policy
+	maxWrites        = 100 // store writes per second
 )
 
-var errBound = errors.New("a bound is not kept")
+var errBoundExceeded = errors.New("a bound is not kept")
 
 func policyCommand() *cobra.Command {
 	var check bool
@@ -35,14 +35,14 @@
 	return cmd
 }
 
-// contender is one of the compared policies.
-type contender struct {
+// candidate is one of the compared policies.
+type candidate struct {
 	name string
 	run  func(policy.Scenario) policy.Result
 }
 
-func contenders() []contender {
-	return []contender{
+func candidates() []candidate {
+	return []candidate{
 		{"static shares", func(s policy.Scenario) policy.Result { return policy.Run(s, "static shares", policy.Static) }},
 		{"fixed grants", func(s policy.Scenario) policy.Result { return policy.Run(s, "fixed grants", policy.Fixed) }},
 		{"one home", func(s policy.Scenario) policy.Result { return policy.Run(s, "one home", policy.Home) }},
@@ -57,22 +57,22 @@
 }
 
 func comparePolicies(out io.Writer, check bool) error {
-	var kept []error
+	var violations []error
 	for _, s := range scenarios() {
 		var results []policy.Result
-		for _, c := range contenders() {
+		for _, c := range candidates() {
 			r := c.run(s)
 			results = append(results, r)
 			printResult(out, r)
 		}
-		kept = append(kept, bounds(s, results))
+		violations = append(violations, checkBounds(s, results))
 	}
-	kept = append(kept, compareLedgers(out))
+	violations = append(violations, compareLedgers(out))
 	compareRouting(out)
 	if !check {
 		return nil
 	}
-	return errors.Join(kept...)
+	return errors.Join(violations...)
 }
 
 // ledgerLoads returns the loads of the current and of the target fleet size.
@@ -90,7 +90,7 @@
 
 // ledgerBounds are the bounds for the loads of ledgerLoads: store writes per second, not
 // counting those of grants, and the wait of a claim in milliseconds.
-var ledgerBounds = []struct{ writes, onceP99 float64 }{{90, 50}, {150, 500}}
+var ledgerBounds = []struct{ writes, notRepeatableP99 float64 }{{90, 50}, {150, 500}}
 
 func compareRouting(out io.Writer) {
 	for _, r := range []routing.Result{
@@ -104,16 +104,16 @@
 }
 
 func compareLedgers(out io.Writer) error {
-	var kept []error
+	var violations []error
 	for i, load := range ledgerLoads() {
 		r := policy.RunLedger(load)
 		_, _ = fmt.Fprintf(out, "%-28s requests %d writes/s %.1f bytes/s %.0f claim wait not-repeatable p50 %.1f p99 %.1f ms, repeatable p50 %.1f p99 %.1f ms, bill wait p50 %.1f p99 %.1f ms\n",
 			r.Name, r.Requests, r.WritesPerSecond, r.BytesPerSecond, r.NotRepeatableP50, r.NotRepeatableP99, r.RepeatableP50, r.RepeatableP99, r.BillP50, r.BillP99)
-		if r.WritesPerSecond > ledgerBounds[i].writes || r.NotRepeatableP99 > ledgerBounds[i].onceP99 {
-			kept = append(kept, fmt.Errorf("%w: %s", errBound, r.Name))
+		if r.WritesPerSecond > ledgerBounds[i].writes || r.NotRepeatableP99 > ledgerBounds[i].notRepeatableP99 {
+			violations = append(violations, fmt.Errorf("%w: %s", errBoundExceeded, r.Name))
 		}
 	}
-	return errors.Join(kept...)
+	return errors.Join(violations...)
 }
 
 func printResult(out io.Writer, r policy.Result) {
@@ -126,25 +126,25 @@
 	}
 }
 
-// bounds checks the chosen policy, which is the last of the results, against its bounds
+// checkBounds checks the chosen policy, which is the last of the results, against its bounds
 // and against static shares, which are the first.
-func bounds(s policy.Scenario, results []policy.Result) error {
+func checkBounds(s policy.Scenario, results []policy.Result) error {
 	static, chosen := results[0], results[len(results)-1]
-	maxFalse := maxFalseCalm
+	maxFalse := maxFalseNoFaults
 	if len(s.Faults) > 0 {
 		maxFalse = maxFalseFaults
 	}
 	switch {
 	case chosen.Overspend != 0:
-		return fmt.Errorf("%w: %s: overspend %d", errBound, s.Name, chosen.Overspend)
+		return fmt.Errorf("%w: %s: overspend %d", errBoundExceeded, s.Name, chosen.Overspend)
 	case chosen.FalseShare > maxFalse:
-		return fmt.Errorf("%w: %s: false refusals %.3f%%, at most %.1f%%", errBound, s.Name, chosen.FalseShare, maxFalse)
-	case chosen.False*timesBetter > static.False:
-		return fmt.Errorf("%w: %s: %d false refusals against %d of static shares", errBound, s.Name, chosen.False, static.False)
-	case len(s.Faults) == 0 && chosen.LeftShare > maxLeftCalm:
-		return fmt.Errorf("%w: %s: %.2f%% left", errBound, s.Name, chosen.LeftShare)
+		return fmt.Errorf("%w: %s: false refusals %.3f%%, at most %.1f%%", errBoundExceeded, s.Name, chosen.FalseShare, maxFalse)
+	case chosen.False*minImprovement > static.False:
+		return fmt.Errorf("%w: %s: %d false refusals against %d of static shares", errBoundExceeded, s.Name, chosen.False, static.False)
+	case len(s.Faults) == 0 && chosen.LeftShare > maxLeftNoFaults:
+		return fmt.Errorf("%w: %s: %.2f%% left", errBoundExceeded, s.Name, chosen.LeftShare)
 	case chosen.WritesPerSecond > maxWrites:
-		return fmt.Errorf("%w: %s: %.1f writes a second", errBound, s.Name, chosen.WritesPerSecond)
+		return fmt.Errorf("%w: %s: %.1f writes a second", errBoundExceeded, s.Name, chosen.WritesPerSecond)
 	}
 	return nil
 }
--- a/lab/relay.go
+++ b/lab/relay.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// relays stand between routers: each router is listed under its relay's
-// address, so that traffic between two routers can be counted and cut. A
-// router calls from its own loopback IP, by which the relay knows it.
+// relays are TCP proxies in front of the routers' peer addresses. Each router is listed
+// under the address of its relay, so that traffic between two routers can be counted and
+// cut. A router connects from its own loopback IP, which identifies it to the relay.
 type relays struct {
 	mu    sync.Mutex
 	cut   map[[2]string]bool
@@ -21,7 +21,7 @@
 	return &relays{cut: map[[2]string]bool{}, conns: map[net.Conn][2]string{}}
 }
 
-// add starts a relay to a router's peer address and returns its address.
+// add starts a relay to a router's peer address and returns the relay's address.
 func (r *relays) add(target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,11 +37,11 @@
 		if err != nil {
 			return
 		}
-		go r.join(conn, target)
+		go r.forward(conn, target)
 	}
 }
 
-func (r *relays) join(conn net.Conn, target string) {
+func (r *relays) forward(conn net.Conn, target string) {
 	pair := [2]string{host(conn.RemoteAddr().String()), host(target)}
 	if !r.track(conn, pair) {
 		_ = conn.Close()
@@ -93,7 +93,7 @@
 	_ = conn.Close()
 }
 
-// setCut cuts or mends the traffic between two hosts, both ways.
+// setCut cuts or restores the traffic between two hosts in both directions.
 func (r *relays) setCut(a, b string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -50,14 +50,14 @@
 	return cmd
 }
 
-// point is one measured size and figure.
+// point is a size and the figure measured at it.
 type point struct {
 	size   float64
 	figure float64
 }
 
-// slope is the least-squares line through points.
-func slope(points []point) (perUnit, at0 float64) {
+// fitLine fits a least-squares line through points. It returns the slope and the intercept.
+func fitLine(points []point) (perUnit, at0 float64) {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
 		n++
@@ -70,13 +70,13 @@
 	return perUnit, (sy - perUnit*sx) / n
 }
 
-// measure prints a row: the figures at the sizes and their slope.
+// measure prints a row with the figure at each size, the slope and the intercept.
 func measure(out io.Writer, name, unit string, sizes []int, figure func(size int) float64) {
 	var points []point
 	for _, n := range sizes {
 		points = append(points, point{float64(n), figure(n)})
 	}
-	perUnit, at0 := slope(points)
+	perUnit, at0 := fitLine(points)
 	_, _ = fmt.Fprintf(out, "%-46s", name)
 	for _, p := range points {
 		_, _ = fmt.Fprintf(out, " %g: %.4g;", p.size, p.figure)
@@ -84,8 +84,8 @@
 	_, _ = fmt.Fprintf(out, " slope %.4g %s, at 0 %.4g\n", perUnit, unit, at0)
 }
 
-// heap returns the bytes that build leaves reachable.
-func heap(build func() any) float64 {
+// heapBytes returns the size on the heap, in bytes, of the value that build returns.
+func heapBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -128,7 +128,7 @@
 	return s
 }
 
-// memberList is a platform's list of so many routers.
+// memberList is a platform's list of the given number of routers.
 type memberList int
 
 // Instances implements members.Lister.
@@ -182,19 +182,19 @@
 
 func stateSlopes(out io.Writer) error {
 	measure(out, "state of a used budget in a router", "bytes", []int{1000, 4000, 14000}, func(n int) float64 {
-		return heap(func() any { return agentWith(n, 256) })
+		return heapBytes(func() any { return agentWith(n, 256) })
 	})
 	measure(out, "ledger record in a shard owner", "bytes", []int{5000, 20000, 60000}, func(n int) float64 {
-		return heap(func() any { return shardWith(n) })
+		return heapBytes(func() any { return shardWith(n) })
 	})
 	measure(out, "member in a router's view", "bytes", []int{100, 200, 390}, func(n int) float64 {
-		return heap(func() any { return viewWith(n) })
+		return heapBytes(func() any { return viewWith(n) })
 	})
 	measure(out, "client account with one row", "bytes", []int{60, 120, 230}, func(n int) float64 {
-		return heap(func() any { return stateWith(n) })
+		return heapBytes(func() any { return stateWith(n) })
 	})
 	measure(out, "backend server in the routes", "bytes", []int{325, 650, 1300}, func(n int) float64 {
-		return heap(func() any { return routesWith(n) })
+		return heapBytes(func() any { return routesWith(n) })
 	})
 	measure(out, "budget in a store page, encoded", "bytes", []int{10, 55, 200}, func(n int) float64 {
 		p := budget.NewPage()
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// each times one call of fn, as the mean of many, in microseconds.
-func each(fn func(i int)) float64 {
+// meanMicros returns the mean duration of many calls of fn, in microseconds.
+func meanMicros(fn func(i int)) float64 {
 	const calls = 20000
 	began := time.Now()
 	for i := range calls {
@@ -220,16 +220,16 @@
 	now := time.Unix(2000, 0)
 	measure(out, "ranking a home, microseconds", "us/member", []int{100, 200, 390}, func(n int) float64 {
 		v := viewWith(n)
-		return each(func(i int) { v.First(now, "budget/b") })
+		return meanMicros(func(i int) { v.First(now, "budget/b") })
 	})
 	measure(out, "the home found lately, microseconds", "us/member", []int{100, 200, 390}, func(n int) float64 {
 		c := members.New(membership.Member{ID: "r000", Kind: "router", State: membership.Live}, memberList(n), time.Hour, zap.NewNop())
 		c.Refresh(context.Background())
-		return each(func(int) { c.First(time.Now(), "budgets/1") })
+		return meanMicros(func(int) { c.First(time.Now(), "budgets/1") })
 	})
 	measure(out, "reserve and settle locally, microseconds", "us/budget", []int{1000, 4000, 14000}, func(n int) float64 {
 		a := agentWith(n, 256)
-		return each(func(i int) {
+		return meanMicros(func(i int) {
 			id := fmt.Sprintf("b%05d", i%n)
 			a.Reserve(now, id, 10)
 			a.Settle(now, id, 10, 5)
@@ -246,7 +246,7 @@
 	measure(out, "pick of a backend server, microseconds", "us/server", []int{325, 650, 1300}, func(n int) float64 {
 		r := routesWith(n)
 		rng := rand.New(rand.NewPCG(1, 1))
-		return each(func(i int) { r.Pick(now, rng, route.Request{Target: fmt.Sprintf("model-%d", i%36), Prefix: uint64(i)}) })
+		return meanMicros(func(i int) { r.Pick(now, rng, route.Request{Target: fmt.Sprintf("model-%d", i%36), Prefix: uint64(i)}) })
 	})
 	_, _ = fmt.Fprintf(out, "%-46s %.1f us, both sides\n", "one call between routers over loopback", callMicros())
 	return nil
@@ -266,20 +266,20 @@
 	go func() { _ = peer.Serve(ctx, listener, mux) }()
 	c := peer.NewClient(peer.Options{DialTimeout: time.Second})
 	defer func() { _ = c.Close() }()
-	return each(func(int) {
+	return meanMicros(func(int) {
 		_, _ = peer.Call[peer.Empty, peer.WhoAnswer](ctx, c, listener.Addr().String(), peer.MethodWho, &peer.Empty{})
 	})
 }
 
-// perRouter is the target's load of one router, in requests a second, and
-// perBudget its number of budgets.
+// requestsPerRouter is the load of one router at the target fleet size, in requests per second,
+// and budgetsPerRouter the number of budgets per router.
 const (
-	perRouter  = 20.8
-	perBudgets = 36
+	requestsPerRouter = 20.8
+	budgetsPerRouter  = 36
 )
 
-// fleetSlopes runs the chosen policy at growing fleets, all else in
-// proportion.
+// fleetSlopes runs the chosen policy at growing fleet sizes with proportional load, budgets
+// and pages.
 func fleetSlopes(out io.Writer) error {
 	results := map[int]policy.Result{}
 	sizes := []int{8, 39, 130, 390}
@@ -287,8 +287,8 @@
 		s := policy.Base(14, 5*time.Millisecond)
 		s.Name = fmt.Sprintf("%d routers", n)
 		s.Routers = n
-		s.PerSecond = perRouter * float64(n)
-		s.Budgets = perBudgets * n
+		s.PerSecond = requestsPerRouter * float64(n)
+		s.Budgets = budgetsPerRouter * n
 		s.Pages = max(16, n*256/390)
 		s.Hold = 10 * time.Second
 		s.Fill = 300
@@ -311,7 +311,7 @@
 	return nil
 }
 
-// changeSlopes decides changes of the table on real routers in this process.
+// changeSlopes measures table changes on real routers that run in this process.
 func changeSlopes(out io.Writer) error {
 	sizes := []int{2, 4, 8, 16}
 	costs := map[int]changeCost{}
@@ -343,24 +343,24 @@
 
 type changeCost struct {
 	writes, reads, watches, bytes, millis float64
-	// The idle ones are a second, of the whole fleet.
+	// The idle figures are per second, for the whole fleet.
 	idleReads, idleWatches, idleBytes float64
 }
 
 const (
-	changes = 20
-	idle    = 6 * time.Second
+	changes    = 20
+	idlePeriod = 6 * time.Second
 )
 
 func changeCostAt(n int) (changeCost, error) {
 	platform := standin.New(standin.Limits{}, 1)
-	addr, err := embedded(platform)
+	addr, err := serveLocal(platform)
 	if err != nil {
 		return changeCost{}, err
 	}
 	var routers []*router.Router
 	for i := range n {
-		r, err := quietRouter(platform, addr, i)
+		r, err := startLocalRouter(platform, addr, i)
 		if err != nil {
 			return changeCost{}, err
 		}
@@ -368,7 +368,7 @@
 		routers = append(routers, r)
 	}
 	op := newOperator("slopes", routers[0].PeersAddr())
-	engineAddr, err := embedded(backend.NewEngine(0))
+	engineAddr, err := serveLocal(backend.NewEngine(0))
 	if err != nil {
 		return changeCost{}, err
 	}
@@ -376,12 +376,12 @@
 	if err := op.do(admin.PoolSet, admin.PoolArgs{Pool: pool}, nil); err != nil {
 		return changeCost{}, err
 	}
-	background := countsDuring(platform, routers, func() error { time.Sleep(idle); return nil })
+	background := countsDuring(platform, routers, func() error { time.Sleep(idlePeriod); return nil })
 	if background.err != nil {
 		return changeCost{}, background.err
 	}
 	during := countsDuring(platform, routers[:1], func() error { return editRow(op) })
-	cost := during.minus(background)
+	cost := during.costPerChange(background)
 	seconds := background.span.Seconds()
 	cost.idleReads = float64(background.counts.Reads) / seconds
 	cost.idleWatches = float64(background.counts.Watches) / seconds
@@ -399,7 +399,7 @@
 	return nil
 }
 
-// sample is what a span of time cost.
+// sample is the traffic during a period.
 type sample struct {
 	counts store.Counts
 	bytes  int64
@@ -425,10 +425,11 @@
 	}
 }
 
-// minus takes the background's share off and returns the cost of one change.
-func (s sample) minus(background sample) changeCost {
+// costPerChange subtracts the background traffic of the same duration and returns the cost of
+// one change.
+func (s sample) costPerChange(background sample) changeCost {
 	share := s.span.Seconds() / background.span.Seconds()
-	background.bytes = 0 // of all routers; the proposer's idle ones are few
+	background.bytes = 0 // counted over all routers; the idle traffic of the proposer alone is negligible
 	one := func(during, idle int64) float64 { return (float64(during) - share*float64(idle)) / changes }
 	return changeCost{
 		writes:  one(s.counts.Writes, background.counts.Writes),
@@ -439,8 +440,8 @@
 	}
 }
 
-// quietRouter starts a router without logs on free ports.
-func quietRouter(p *standin.Platform, platform string, i int) (*router.Router, error) {
+// startLocalRouter starts a router in this process, without logs and on free ports.
+func startLocalRouter(p *standin.Platform, platform string, i int) (*router.Router, error) {
 	s := settings.Default()
 	s.Instance.ID, s.Instance.Domain = fmt.Sprintf("r%d", i), "local"
 	s.Platform.URL = "http://" + platform
@@ -460,5 +461,5 @@
 	if err := r.Start(); err != nil {
 		return nil, err
 	}
-	return r, waitFor(readyWithin, r.Ready)
+	return r, waitFor(readyTimeout, r.Ready)
 }
--- a/lab/solo.go
+++ b/lab/solo.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	soloCallers = "127.0.0.1:8080"
-	soloPeers   = "127.0.0.1:7100"
-	readyWithin = 10 * time.Second
+	soloCallers  = "127.0.0.1:8080"
+	soloPeers    = "127.0.0.1:7100"
+	readyTimeout = 10 * time.Second
 )
 
 func soloCommand() *cobra.Command {
@@ -35,8 +35,8 @@
 	}
 }
 
-// embedded serves a handler on a free loopback port and returns its address.
-func embedded(h http.Handler) (string, error) {
+// serveLocal serves a handler on a free loopback port and returns its address.
+func serveLocal(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -48,7 +48,7 @@
 func solo(out io.Writer) error {
 	platform := standin.New(standin.Limits{Writes: 400, Reads: 2000}, 1)
 	platform.SetInstance(membership.Member{ID: "solo", Kind: "router", Addr: soloPeers, Domain: "local", State: membership.Live})
-	addr, err := embedded(platform)
+	addr, err := serveLocal(platform)
 	if err != nil {
 		return err
 	}
@@ -56,15 +56,15 @@
 	if err != nil {
 		return err
 	}
-	key, err := furnishSolo()
+	key, err := setUpSolo()
 	if err != nil {
 		return err
 	}
-	greet(out, key)
+	printInstructions(out, key)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	r.Stop(ctx)
 	return nil
@@ -88,7 +88,7 @@
 	if err := r.Start(); err != nil {
 		return nil, err
 	}
-	return r, waitFor(readyWithin, r.Ready)
+	return r, waitFor(readyTimeout, r.Ready)
 }
 
 func waitFor(limit time.Duration, done func() bool) error {
@@ -102,12 +102,12 @@
 	return nil
 }
 
-func furnishSolo() (string, error) {
-	engineAddr, err := embedded(backend.NewEngine(20 * time.Millisecond))
+func setUpSolo() (string, error) {
+	engineAddr, err := serveLocal(backend.NewEngine(20 * time.Millisecond))
 	if err != nil {
 		return "", err
 	}
-	serviceAddr, err := embedded(backend.NewService(5 * time.Millisecond))
+	serviceAddr, err := serveLocal(backend.NewService(5 * time.Millisecond))
 	if err != nil {
 		return "", err
 	}
@@ -120,7 +120,7 @@
 	return keys["demo"], err
 }
 
-func greet(out io.Writer, key string) {
+func printInstructions(out io.Writer, key string) {
 	_, _ = fmt.Fprintf(out, `
 gaplink runs with embedded stand-ins. Send a first request:
 
