--- a/budget/agent.go
+++ b/budget/agent.go
@@ -11,7 +11,7 @@
 // needed at once; a larger divisor fragments less near the end of the budget.
 const freeDivisor = 4
 
-// Agent manages the budgets of one router: as entry router for its own callers and as home
+// Agent manages the budgets of one router: as entry router for its own callers and as owner
 // for some budgets. It is not safe for concurrent use.
 type Agent struct {
 	cfg     Config
@@ -22,7 +22,7 @@
 	token   uint64
 	writes  int64
 	closing bool
-	grants  bool // this router has granted tokens to others as their home
+	grants  bool // this router has granted tokens to others as their owner
 	sealed  bool
 	fenced  map[string]bool // incarnations whose messages are void
 	limits  map[string]Limit
@@ -60,8 +60,8 @@
 	return p
 }
 
-func (a *Agent) isHome(now time.Time, id string) bool {
-	return a.cfg.Home(now, id) == a.cfg.Self.ID
+func (a *Agent) isOwner(now time.Time, id string) bool {
+	return a.cfg.Owner(now, id) == a.cfg.Self.ID
 }
 
 // Reserve asks for need tokens. It returns a reservation number; if granted is false, a
@@ -133,7 +133,7 @@
 		a.handleGrant(now, p, m)
 	case Recall:
 		p.scarce = true
-		p.home = m.From
+		p.owner = m.From
 		a.returnToPeer(p, m.From)
 	case Back:
 		p.recallAnswered(m.From.Incarnation)
@@ -144,14 +144,14 @@
 		p.finishLoan(m.From.ID)
 	}
 	a.advance(now, p)
-	if m.Kind == Draw && a.isHome(now, p.id) {
+	if m.Kind == Draw && a.isOwner(now, p.id) {
 		a.prefetch(now, p)
 	}
 	a.returnSurplus(now, p)
 	return a.takeEffects()
 }
 
-// handleDraw queues a peer's draw, or redirects it to the next home if this router is
+// handleDraw queues a peer's draw, or redirects it to the successor if this router is
 // closing.
 func (a *Agent) handleDraw(now time.Time, p *pool, m Message) {
 	d := draw{peer: m.From, token: m.Token, need: m.Need, want: m.Want}
@@ -184,12 +184,12 @@
 	return moved
 }
 
-// handleGrant handles the home's answer to a draw.
+// handleGrant handles the owner's answer to a draw.
 func (a *Agent) handleGrant(now time.Time, p *pool, m Message) {
 	p.scarce = m.Scarce
-	p.home = m.From
-	if p.unreachableHome == m.From.ID {
-		p.unreachableHome = ""
+	p.owner = m.From
+	if p.unreachableOwner == m.From.ID {
+		p.unreachableOwner = ""
 	}
 	if m.Token == 0 {
 		p.prefetchSentAt = time.Time{}
@@ -197,7 +197,7 @@
 	switch m.Refused {
 	case "":
 	case Moved:
-		a.skipHome(now, p, m.From.ID)
+		a.skipOwner(now, p, m.From.ID)
 	default:
 		a.serveWaiters(p)
 		if _, ok := p.removeWaiter(m.Token); ok {
@@ -215,14 +215,14 @@
 		p.sent[m.To.Incarnation] -= m.Delta
 		p.balance += m.Delta
 	}
-	if certain && p.home == m.To {
-		p.home = Peer{} // it may run under another incarnation now
+	if certain && p.owner == m.To {
+		p.owner = Peer{} // it may run under another incarnation now
 	}
 	switch m.Kind {
 	case Draw:
 		p.resetDraw(m.Token)
 		if m.To.Incarnation == "" || !certain {
-			p.unreachableHome, p.unreachableAt = m.To.ID, now
+			p.unreachableOwner, p.unreachableAt = m.To.ID, now
 		}
 	case Recall:
 		p.recallAnswered(m.To.Incarnation)
@@ -277,9 +277,9 @@
 
 func (a *Agent) tickPool(now time.Time, p *pool) {
 	a.refreshEscrow(now, p)
-	p.awaitingNextHome = false
+	p.awaitingSuccessor = false
 	if p.drawTimedOut(now, a.cfg.DrawTimeout) {
-		a.skipHome(now, p, p.drawTarget)
+		a.skipOwner(now, p, p.drawTarget)
 	}
 	if p.loanTimedOut(now, a.cfg.LenderTimeout) {
 		a.emit(Suspect{ID: p.borrowing.from})
@@ -290,15 +290,15 @@
 	}
 	a.advance(now, p)
 	idle := a.cfg.IdleAfter
-	if a.isHome(now, p.id) {
-		idle = a.cfg.HomeIdleAfter
+	if a.isOwner(now, p.id) {
+		idle = a.cfg.OwnerIdleAfter
 	}
 	if a.closing || now.Sub(p.lastUse) >= idle {
 		a.returnIdle(now, p)
 		return
 	}
 	a.returnSurplus(now, p)
-	if a.cfg.StarterShare > 0 && a.isHome(now, p.id) {
+	if a.cfg.StarterShare > 0 && a.isOwner(now, p.id) {
 		a.prefetch(now, p)
 	}
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -39,7 +39,7 @@
 	unreclaimed string          // a dead incarnation whose tokens are not yet reclaimed
 	reclaimed   []string        // reclaimed incarnations
 	charged     int64           // billed tokens, and the worst case of each attempt that died
-	home        int
+	owner       int
 	waiting     map[string]int64
 
 	// The limit as the configuration sets it, and whether the store is known to be
@@ -48,8 +48,8 @@
 	storeLost           bool
 	// tail makes the last fiftieth of the budget a tail with a TailTime of 15 s.
 	tail bool
-	// sharedHome makes one router the home of the budget for all.
-	sharedHome bool
+	// sharedOwner makes one router the owner of the budget for all.
+	sharedOwner bool
 	// scarceWithin bounds what is held of a scarce budget.
 	scarceWithin time.Duration
 }
@@ -70,7 +70,7 @@
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: fmt.Sprintf("r%d", r.index), Incarnation: r.incarnation()}
-	cfg.Home = func(time.Time, string) string { return fmt.Sprintf("r%d", n.home) }
+	cfg.Owner = func(time.Time, string) string { return fmt.Sprintf("r%d", n.owner) }
 	r.agent = budget.NewAgent(cfg)
 	for _, d := range n.reclaimed {
 		r.agent.Fence(d)
@@ -315,7 +315,7 @@
 		},
 		"store":   func(t *rapid.T) { n.answer(n.routers[pick.Draw(t, "router")], storeOutcome.Draw(t, "fate")) },
 		"arrive":  func(*rapid.T) { n.applyLateWrite() },
-		"home":    func(t *rapid.T) { n.home = pick.Draw(t, "home") },
+		"home":    func(t *rapid.T) { n.owner = pick.Draw(t, "home") },
 		"kill":    func(t *rapid.T) { n.kill(n.routers[pick.Draw(t, "router")]) },
 		"reclaim": func(*rapid.T) { n.reclaim() },
 		"tick": func(t *rapid.T) {
@@ -354,12 +354,12 @@
 	return false
 }
 
-// loneHome returns an agent that is the home of every budget.
-func loneHome() (*budget.Agent, budget.Peer) {
+// soleOwner returns an agent that is the owner of every budget.
+func soleOwner() (*budget.Agent, budget.Peer) {
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: "r0", Incarnation: "r0/1"}
-	cfg.Home = func(time.Time, string) string { return "r0" }
+	cfg.Owner = func(time.Time, string) string { return "r0" }
 	return budget.NewAgent(cfg), cfg.Self
 }
 
@@ -367,7 +367,7 @@
 // fails after its receiver was reclaimed: they went back to the budget with the
 // receiver's, so the sender must not take them back too.
 func TestUndeliveredToFencedStaysGone(t *testing.T) {
-	a, self := loneHome()
+	a, self := soleOwner()
 	now := time.Unix(1000, 0)
 	dead := budget.Peer{ID: "r1", Incarnation: "r1/1"}
 	a.Receive(now, budget.Message{Kind: budget.Back, Budget: testBudget, From: budget.Peer{ID: "r2", Incarnation: "r2/1"}, To: self, Total: 9, Delta: 9})
@@ -386,7 +386,7 @@
 // TestSealedAgentAcceptsNoTokens guards against a router that has returned everything and
 // is about to end its registration, but accepts tokens that it would have to return late.
 func TestSealedAgentAcceptsNoTokens(t *testing.T) {
-	a, self := loneHome()
+	a, self := soleOwner()
 	now := time.Unix(1000, 0)
 	a.Close(now)
 	if !a.Closed() {
--- a/budget/config.go
+++ b/budget/config.go
@@ -8,9 +8,10 @@
 	Self Peer
 	// Pages is the number of budget pages in the fleet.
 	Pages int
-	// Home returns the instance that currently holds a budget's shared tokens. It should
-	// be the same for all budgets of a page, so that they are written together.
-	Home func(now time.Time, budget string) string
+	// Owner returns the owner of a budget: the instance that currently holds its shared
+	// tokens. It should be the same for all budgets of a page, so that they are written
+	// together.
+	Owner func(now time.Time, budget string) string
 	// Running returns the process that is known to run at an instance; its incarnation is
 	// empty if none is known. nil: none ever is.
 	Running func(id string) Peer
@@ -37,27 +38,27 @@
 	Started      time.Time
 	StartedOfDay time.Time
 	Predecessor  func(holder string) bool
-	// HomeHorizon is how much demand, as a duration, a home draws from the store in
+	// OwnerHorizon is how much demand, as a duration, an owner draws from the store in
 	// advance. It is a trade-off: a longer horizon bridges a longer outage and strands
-	// more tokens when a home dies.
-	HomeHorizon time.Duration
+	// more tokens when an owner dies.
+	OwnerHorizon time.Duration
 	// ScarceHorizon is how much demand the store must have left for tokens not to count as
-	// scarce; 0: HomeHorizon.
+	// scarce; 0: OwnerHorizon.
 	ScarceHorizon time.Duration
 	// EntryHorizon is how much demand an entry router holds, if that is at least
 	// EntryLeast requests of the mean size. A router with fewer requests for a budget asks
-	// its home for each one and returns what is left over, so that few tokens lie idle in
+	// its owner for each one and returns what is left over, so that few tokens lie idle in
 	// the many routers of a large fleet.
 	EntryHorizon time.Duration
 	EntryLeast   float64
-	// DrawTimeout is how long an entry router waits for the home's answer.
+	// DrawTimeout is how long an entry router waits for the owner's answer.
 	DrawTimeout time.Duration
 	// LenderTimeout is how long another router may take to answer a loan request.
 	LenderTimeout time.Duration
-	// DrawSpacing is the minimum time between two writes of a page by a home that grants
+	// DrawSpacing is the minimum time between two writes of a page by an owner that grants
 	// tokens to others: it batches their draws in the meantime.
 	DrawSpacing time.Duration
-	// RecallTimeout is how long a home waits for recalled tokens.
+	// RecallTimeout is how long an owner waits for recalled tokens.
 	RecallTimeout time.Duration
 	// CheckEvery is the minimum time between two lookups of an exhausted budget.
 	CheckEvery time.Duration
@@ -66,9 +67,9 @@
 	PageSpacing time.Duration
 	// StoreRetry is the pause after the store was unavailable.
 	StoreRetry time.Duration
-	// RefillBelow is the share of HomeHorizon below which a home draws more.
+	// RefillBelow is the share of OwnerHorizon below which an owner draws more.
 	RefillBelow float64
-	// ScarceWithin is how long a budget must last, at the fleet's demand, for the homes
+	// ScarceWithin is how long a budget must last, at the fleet's demand, for the owners
 	// together to hold half of what the store has free; they hold more of one that lasts
 	// longer. 0: no such bound.
 	ScarceWithin time.Duration
@@ -78,40 +79,40 @@
 	// (about a third) of it is left after TailTime. 0: there is no tail.
 	TailShare float64
 	TailTime  time.Duration
-	// StarterShare is the share of a budget that all homes together hold before any
+	// StarterShare is the share of a budget that all owners together hold before any
 	// request has asked for it.
 	StarterShare float64
 	// RateWindow is the time constant of the demand estimate.
 	RateWindow time.Duration
-	// Surplus is how far, as a share, a home's balance may exceed its target before the
-	// home returns the excess with its next write; 0: it never does.
+	// Surplus is how far, as a share, an owner's balance may exceed its target before the
+	// owner returns the excess with its next write; 0: it never does.
 	Surplus float64
-	// HeldRequests is the minimum that a home holds, and LowRequests the minimum threshold
+	// HeldRequests is the minimum that an owner holds, and LowRequests the minimum threshold
 	// at which it draws more, in requests of the mean size.
 	HeldRequests, LowRequests float64
-	// IdleAfter is when an unused balance is returned to the home, and HomeIdleAfter when
-	// the home returns it to the store.
-	IdleAfter, HomeIdleAfter time.Duration
+	// IdleAfter is when an unused balance is returned to the owner, and OwnerIdleAfter when
+	// the owner returns it to the store.
+	IdleAfter, OwnerIdleAfter time.Duration
 }
 
 // DefaultConfig returns the settings that apply unless an operator sets others.
 func DefaultConfig() Config {
 	return Config{
-		Pages:         16,
-		HomeHorizon:   10 * time.Second,
-		EntryHorizon:  time.Second,
-		DrawTimeout:   400 * time.Millisecond,
-		LenderTimeout: 100 * time.Millisecond,
-		RecallTimeout: 150 * time.Millisecond,
-		CheckEvery:    100 * time.Millisecond,
-		PageSpacing:   time.Second,
-		StoreRetry:    200 * time.Millisecond,
-		RateWindow:    5 * time.Second,
-		RefillBelow:   1.0 / freeDivisor,
-		HeldRequests:  24,
-		LowRequests:   6,
-		IdleAfter:     5 * time.Second,
-		HomeIdleAfter: 2 * time.Minute,
+		Pages:          16,
+		OwnerHorizon:   10 * time.Second,
+		EntryHorizon:   time.Second,
+		DrawTimeout:    400 * time.Millisecond,
+		LenderTimeout:  100 * time.Millisecond,
+		RecallTimeout:  150 * time.Millisecond,
+		CheckEvery:     100 * time.Millisecond,
+		PageSpacing:    time.Second,
+		StoreRetry:     200 * time.Millisecond,
+		RateWindow:     5 * time.Second,
+		RefillBelow:    1.0 / freeDivisor,
+		HeldRequests:   24,
+		LowRequests:    6,
+		IdleAfter:      5 * time.Second,
+		OwnerIdleAfter: 2 * time.Minute,
 	}
 }
 
@@ -119,5 +120,5 @@
 	if c.ScarceHorizon > 0 {
 		return c.ScarceHorizon
 	}
-	return c.HomeHorizon
+	return c.OwnerHorizon
 }
--- a/budget/entry.go
+++ b/budget/entry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file implements what a router does for a budget of which it is not the home: it
-// asks the home for tokens and returns those it does not need.
+// This file implements what a router does for a budget of which it is not the owner: it
+// asks the owner for tokens and returns those it does not need.
 
 // keepsBuffer reports whether an entry router holds tokens in advance of its requests:
 // while tokens are not scarce, and if it has enough requests for the budget.
@@ -19,56 +19,57 @@
 	return p.expectedDemand(now, a.cfg.EntryHorizon)
 }
 
-// skippedHomeTTL is how long a home that redirected or did not answer is not asked again.
-const skippedHomeTTL = 500 * time.Millisecond
+// skippedOwnerTTL is how long an owner that redirected or did not answer is not asked
+// again.
+const skippedOwnerTTL = 500 * time.Millisecond
 
-// skipHome turns from a home to the next one.
-func (a *Agent) skipHome(now time.Time, p *pool, id string) {
+// skipOwner turns from an owner to its successor.
+func (a *Agent) skipOwner(now time.Time, p *pool, id string) {
 	p.resetDraws()
-	p.skippedHomes[id] = now
-	p.awaitingNextHome = true
+	p.skippedOwners[id] = now
+	p.awaitingSuccessor = true
 	a.emit(Suspect{ID: id})
 	a.emit(AskAgain{Budget: p.id})
 }
 
-// AskAgain continues with the current home of a budget.
+// AskAgain continues with the current owner of a budget.
 func (a *Agent) AskAgain(now time.Time, id string) []Effect {
 	p := a.pool(id)
-	p.awaitingNextHome = false
+	p.awaitingSuccessor = false
 	a.advance(now, p)
 	return a.takeEffects()
 }
 
-// refuseAfterFullRound refuses the waiting requests if the current home was skipped
-// recently: every router that could be the home has then been asked. Without it, homes
+// refuseAfterFullRound refuses the waiting requests if the current owner was skipped
+// recently: every router that could be the owner has then been asked. Without it, owners
 // that redirect to each other would do so endlessly.
 func (a *Agent) refuseAfterFullRound(now time.Time, p *pool) bool {
-	skippedAt, ok := p.skippedHomes[a.cfg.Home(now, p.id)]
-	if !ok || now.Sub(skippedAt) >= skippedHomeTTL {
+	skippedAt, ok := p.skippedOwners[a.cfg.Owner(now, p.id)]
+	if !ok || now.Sub(skippedAt) >= skippedOwnerTTL {
 		return false
 	}
 	a.refuseWaiters(p, Unreachable)
 	return true
 }
 
-// unreachableHomePause is how long a home that did not receive a draw is not asked again.
-const unreachableHomePause = 50 * time.Millisecond
+// unreachableOwnerPause is how long an owner that did not receive a draw is not asked again.
+const unreachableOwnerPause = 50 * time.Millisecond
 
-// homeUnreachable reports whether the last draw did not reach the current home of a
+// ownerUnreachable reports whether the last draw did not reach the current owner of a
 // budget.
-func (a *Agent) homeUnreachable(now time.Time, p *pool) bool {
-	return p.unreachableHome != "" && p.unreachableHome == a.cfg.Home(now, p.id)
+func (a *Agent) ownerUnreachable(now time.Time, p *pool) bool {
+	return p.unreachableOwner != "" && p.unreachableOwner == a.cfg.Owner(now, p.id)
 }
 
-// sendDraws sends draws for waiting reservations to the home: one at a time while the
+// sendDraws sends draws for waiting reservations to the owner: one at a time while the
 // router keeps a buffer, since the answer brings more than one needs, or while messages do
-// not reach the home; otherwise one draw per reservation.
+// not reach the owner; otherwise one draw per reservation.
 func (a *Agent) sendDraws(now time.Time, p *pool) {
-	if p.awaitingNextHome || a.refuseAfterFullRound(now, p) {
+	if p.awaitingSuccessor || a.refuseAfterFullRound(now, p) {
 		return
 	}
-	unreachable := a.homeUnreachable(now, p)
-	if unreachable && now.Sub(p.unreachableAt) < unreachableHomePause {
+	unreachable := a.ownerUnreachable(now, p)
+	if unreachable && now.Sub(p.unreachableAt) < unreachableOwnerPause {
 		return
 	}
 	for i := range p.waiters {
@@ -85,12 +86,12 @@
 }
 
 // drawMessage builds a draw. Unless the router keeps a buffer, the message also moves the
-// balance, so that the home decides over all tokens.
+// balance, so that the owner decides over all tokens.
 func (a *Agent) drawMessage(now time.Time, p *pool, token uint64, need int64) Message {
-	p.drawTarget = a.cfg.Home(now, p.id)
+	p.drawTarget = a.cfg.Owner(now, p.id)
 	to := Peer{ID: p.drawTarget}
-	if p.home.ID == p.drawTarget {
-		to = p.home
+	if p.owner.ID == p.drawTarget {
+		to = p.owner
 	}
 	amount := int64(0)
 	if !a.keepsBuffer(now, p) && to.Incarnation != "" && token != 0 {
@@ -109,15 +110,15 @@
 	a.emit(Send{a.move(p, Back, to, max(p.usable(), 0))})
 }
 
-// returnSurplus returns an unused balance to the home unless the router keeps a buffer, so
+// returnSurplus returns an unused balance to the owner unless the router keeps a buffer, so
 // that the tokens are where the next request is decided.
 func (a *Agent) returnSurplus(now time.Time, p *pool) {
-	if p.balance <= 0 || p.waiting() || a.closing || a.isHome(now, p.id) || a.keepsBuffer(now, p) {
+	if p.balance <= 0 || p.waiting() || a.closing || a.isOwner(now, p.id) || a.keepsBuffer(now, p) {
 		return
 	}
 	switch {
-	case a.homeKnown(now, p):
-		a.returnToPeer(p, p.home)
+	case a.ownerKnown(now, p):
+		a.returnToPeer(p, p.owner)
 	case p.scarce:
 		a.returnToStore(now, p)
 	}
@@ -130,15 +131,15 @@
 	a.queue(now, pageOp{budget: p.id, need: -amount})
 }
 
-// homeKnown reports whether the current home is another router whose incarnation is known.
-func (a *Agent) homeKnown(now time.Time, p *pool) bool {
-	if home := a.cfg.Home(now, p.id); p.home.ID != home && a.cfg.Running != nil {
-		p.home = a.cfg.Running(home)
+// ownerKnown reports whether the current owner is another router whose incarnation is known.
+func (a *Agent) ownerKnown(now time.Time, p *pool) bool {
+	if owner := a.cfg.Owner(now, p.id); p.owner.ID != owner && a.cfg.Running != nil {
+		p.owner = a.cfg.Running(owner)
 	}
-	return p.home.Incarnation != "" && p.home.ID != a.cfg.Self.ID && p.home.ID == a.cfg.Home(now, p.id)
+	return p.owner.Incarnation != "" && p.owner.ID != a.cfg.Self.ID && p.owner.ID == a.cfg.Owner(now, p.id)
 }
 
-// returnIdle returns a balance that nothing uses: to the home, or from the home (and from
+// returnIdle returns a balance that nothing uses: to the owner, or from the owner (and from
 // a closing router) to the store.
 func (a *Agent) returnIdle(now time.Time, p *pool) {
 	if a.closing && a.handOver(now, p) {
@@ -147,8 +148,8 @@
 	if p.balance <= 0 || p.waiting() {
 		return
 	}
-	if a.homeKnown(now, p) && !a.closing {
-		a.returnToPeer(p, p.home)
+	if a.ownerKnown(now, p) && !a.closing {
+		a.returnToPeer(p, p.owner)
 		return
 	}
 	a.returnToStore(now, p)
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -24,13 +24,13 @@
 // epoch is the boot time of all machines in the tests.
 var epoch = time.Unix(0, 0)
 
-// ownHomeConfig returns the configuration of a router that draws for itself, borrows from
+// selfOwnerConfig returns the configuration of a router that draws for itself, borrows from
 // the others and keeps an escrow.
-func ownHomeConfig(id, incarnation string, started time.Time, lenders []budget.Peer) budget.Config {
+func selfOwnerConfig(id, incarnation string, started time.Time, lenders []budget.Peer) budget.Config {
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: id, Incarnation: incarnation}
-	cfg.Home = func(time.Time, string) string { return id }
+	cfg.Owner = func(time.Time, string) string { return id }
 	cfg.Lenders = func(time.Time, string) []budget.Peer { return lenders }
 	cfg.HeldRequests, cfg.LowRequests = 1, 0.5
 	cfg.Surplus, cfg.RefillBelow = 0.25, 0.9
@@ -42,8 +42,8 @@
 	return cfg
 }
 
-// bootOwnHome starts a process of a router that is its own home.
-func (n *network) bootOwnHome(r *router) {
+// bootSelfOwner starts a process of a router that is its own owner.
+func (n *network) bootSelfOwner(r *router) {
 	r.incarnationNumber++
 	r.storeCalls, r.running = nil, nil
 	var lenders []budget.Peer
@@ -52,7 +52,7 @@
 			lenders = append(lenders, budget.Peer{ID: fmt.Sprintf("r%d", other.index), Incarnation: other.incarnation()})
 		}
 	}
-	cfg := ownHomeConfig(fmt.Sprintf("r%d", r.index), r.incarnation(), n.at(r), lenders)
+	cfg := selfOwnerConfig(fmt.Sprintf("r%d", r.index), r.incarnation(), n.at(r), lenders)
 	n.setClocks(r, &cfg)
 	cfg.StoreLost = func() bool { return n.storeLost }
 	if n.tail {
@@ -60,8 +60,8 @@
 	}
 	cfg.Routers = func() int { return len(n.routers) }
 	cfg.ScarceWithin = n.scarceWithin
-	if n.sharedHome {
-		n.setSharedHome(&cfg)
+	if n.sharedOwner {
+		n.setSharedOwner(&cfg)
 	}
 	r.agent = budget.NewAgent(cfg)
 	n.perform(r, r.agent.SetLimits(n.at(r), n.limits()))
@@ -77,7 +77,7 @@
 	for _, need := range r.running {
 		n.spent += need
 	}
-	n.bootOwnHome(r)
+	n.bootSelfOwner(r)
 }
 
 // raise changes the limit and sends the new one to some routers.
@@ -122,7 +122,7 @@
 			n.routers = append(n.routers, &router{index: i})
 		}
 		for _, r := range n.routers {
-			n.bootOwnHome(r)
+			n.bootSelfOwner(r)
 		}
 		t.Repeat(escrowActions(n))
 	})
@@ -209,7 +209,7 @@
 	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 100000, limitVersion: 1}
 	r := &router{index: 0}
 	n.routers = []*router{r}
-	n.bootOwnHome(r)
+	n.bootSelfOwner(r)
 	n.serve(r, 100)
 	return n, r
 }
--- a/budget/hold.go
+++ b/budget/hold.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// This file computes how many tokens a home holds in advance of its requests.
+// This file computes how many tokens an owner holds in advance of its requests.
 
-// targetBalance returns how many tokens a home should hold of the budget: its demand
-// within HomeHorizon, at least a few requests' worth for a budget that is rarely used, and
+// targetBalance returns how many tokens an owner should hold of the budget: its demand
+// within OwnerHorizon, at least a few requests' worth for a budget that is rarely used, and
 // at most its fair share of what is left.
 func (a *Agent) targetBalance(now time.Time, p *pool) int64 {
-	want := max(p.expectedDemand(now, a.cfg.HomeHorizon), int64(a.cfg.HeldRequests*p.meanNeed), a.initialBalance(p))
+	want := max(p.expectedDemand(now, a.cfg.OwnerHorizon), int64(a.cfg.HeldRequests*p.meanNeed), a.initialBalance(p))
 	return min(want, a.fairShare(now, p))
 }
 
-// initialBalance returns what a home holds of a budget for which it has no demand
+// initialBalance returns what an owner holds of a budget for which it has no demand
 // estimate, so that the first requests need not wait for the store.
 func (a *Agent) initialBalance(p *pool) int64 {
 	limit, known := a.limits[p.id]
@@ -25,15 +25,15 @@
 	return int64(a.cfg.StarterShare * float64(limit.Tokens) / float64(a.cfg.Routers()))
 }
 
-// refillThreshold returns the balance below which a home draws more.
+// refillThreshold returns the balance below which an owner draws more.
 func (a *Agent) refillThreshold(now time.Time, p *pool) int64 {
-	horizon := time.Duration(float64(a.cfg.HomeHorizon) * a.cfg.RefillBelow)
+	horizon := time.Duration(float64(a.cfg.OwnerHorizon) * a.cfg.RefillBelow)
 	initial := int64(a.cfg.RefillBelow * float64(a.initialBalance(p)))
 	threshold := max(p.expectedDemand(now, horizon), int64(a.cfg.LowRequests*p.meanNeed), initial)
 	return min(threshold, int64(float64(a.fairShare(now, p))*a.cfg.RefillBelow))
 }
 
-// fairShare bounds what a home holds in advance by how long the store's free tokens would
+// fairShare bounds what an owner holds in advance by how long the store's free tokens would
 // last at the fleet's demand. It is large for a budget that lasts long, to cover an outage
 // of the store. It is small for one that runs out soon: all of it will be used anyway, and
 // what is held may be lost with the router.
@@ -54,7 +54,7 @@
 
 // demands returns the demand for a budget at this router and at all routers, as far as the
 // page records it, in tokens per second. If a single router draws for all, its own demand
-// is the fleet's: the demand recorded for other holders was served by former homes and is
+// is the fleet's: the demand recorded for other holders was served by former owners and is
 // the same demand.
 func (a *Agent) demands(now time.Time, p *pool) (own, fleet float64) {
 	own = float64(p.expectedDemand(now, time.Second))
--- a/budget/holding.go
+++ b/budget/holding.go
@@ -55,8 +55,8 @@
 
 // removeIncarnation drops a fenced incarnation from the pool's peers.
 func (p *pool) removeIncarnation(incarnation string) {
-	if p.home.Incarnation == incarnation {
-		p.home = Peer{}
+	if p.owner.Incarnation == incarnation {
+		p.owner = Peer{}
 	}
 	delete(p.holders, incarnation)
 	kept := p.draws[:0]
--- a/budget/machine_test.go
+++ b/budget/machine_test.go
@@ -85,7 +85,7 @@
 		n.routers = []*router{r}
 		r.machine.booted = n.now
 		n.now = n.now.Add(time.Duration(rapid.IntRange(0, 30000).Draw(t, "first start ms")) * time.Millisecond)
-		n.bootOwnHome(r)
+		n.bootSelfOwner(r)
 		n.serve(r, rapid.IntRange(10, 100).Draw(t, "requests"))
 		for range rapid.IntRange(1, 2).Draw(t, "losses of power") {
 			n.dieDuringOutage(t, r)
@@ -139,7 +139,7 @@
 		young := rapid.Bool().Draw(t, "young machine")
 		if young {
 			r.machine.booted = n.now
-			n.bootOwnHome(r)
+			n.bootSelfOwner(r)
 			n.serve(r, 50)
 		} else {
 			r.machine.clockOffset = 2 * time.Second
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -9,11 +9,11 @@
 const (
 	// Exhausted: the store and the known holders have too few tokens left.
 	Exhausted Cause = "exhausted"
-	// Unreachable: tokens may be left, but the store or the home did not answer.
+	// Unreachable: tokens may be left, but the store or the owner did not answer.
 	Unreachable Cause = "unreachable"
 	// Unknown: the store has no such budget.
 	Unknown Cause = "unknown"
-	// Moved: the router asked is closing or is not the home; ask the next home.
+	// Moved: the router asked is closing or is not the owner; ask the successor.
 	Moved Cause = "moved"
 )
 
@@ -30,13 +30,13 @@
 
 // The message kinds.
 const (
-	// Draw asks the home for tokens.
+	// Draw asks the owner for tokens.
 	Draw Kind = "draw"
-	// Grant moves tokens from the home, or refuses a draw.
+	// Grant moves tokens from the owner, or refuses a draw.
 	Grant Kind = "grant"
 	// Recall asks a holder for its unused tokens.
 	Recall Kind = "recall"
-	// Back returns unused tokens to the home.
+	// Back returns unused tokens to the owner.
 	Back Kind = "back"
 	// Borrow asks any router for tokens, when the store has too few or does not answer.
 	Borrow Kind = "borrow"
@@ -95,11 +95,11 @@
 	Cause Cause
 }
 
-// Suspect reports that an instance did not answer in time, or that it is not the home.
+// Suspect reports that an instance did not answer in time, or that it is not the owner.
 type Suspect struct{ ID string }
 
 // AskAgain requests a call of Agent.AskAgain after the preceding effects have been carried
-// out: only then is another router the home.
+// out: only then is another router the owner.
 type AskAgain struct{ Budget string }
 
 // Stop reports that this holder was fenced: its tokens are void, and the process must end.
--- a/budget/outage_test.go
+++ b/budget/outage_test.go
@@ -24,7 +24,7 @@
 		n.routers = append(n.routers, &router{index: i})
 	}
 	for _, r := range n.routers {
-		n.bootOwnHome(r)
+		n.bootSelfOwner(r)
 	}
 	for range 60 {
 		for _, r := range n.routers {
@@ -211,7 +211,7 @@
 		for i := range routers {
 			r := &router{index: i}
 			n.routers = append(n.routers, r)
-			n.bootOwnHome(r)
+			n.bootSelfOwner(r)
 			n.now = n.now.Add(time.Second)
 			n.reserve(r, 100)
 			n.exchange("done")
--- a/budget/page.go
+++ b/budget/page.go
@@ -190,7 +190,7 @@
 	return int(xxhash.Sum64String(id) % uint64(pages))
 }
 
-// Role returns the name by which the home of a page's budgets is ranked.
+// Role returns the name by which the owner of a page's budgets is ranked.
 func Role(page int) string {
 	return fmt.Sprintf("budgets/%d", page)
 }
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -170,7 +170,7 @@
 }
 
 // batchDraws adds draws for the page's other budgets that are below their target balance
-// at their home, so that one write serves the whole page and the number of writes does not
+// at their owner, so that one write serves the whole page and the number of writes does not
 // grow with the number of budgets.
 func (a *Agent) batchDraws(now time.Time, n int, ps *pageState) {
 	if a.closing {
@@ -181,7 +181,7 @@
 			continue
 		}
 		target := a.targetBalance(now, p)
-		if !a.isHome(now, p.id) {
+		if !a.isOwner(now, p.id) {
 			continue
 		}
 		if a.cfg.Surplus > 0 && float64(p.balance) > float64(target)*(1+a.cfg.Surplus) {
@@ -198,7 +198,7 @@
 	}
 }
 
-// returnExcess queues a return of tokens beyond a home's target balance.
+// returnExcess queues a return of tokens beyond an owner's target balance.
 func (a *Agent) returnExcess(now time.Time, p *pool, ps *pageState, tokens int64) {
 	p.balance -= tokens
 	ps.ops = append(ps.ops, pageOp{budget: p.id, need: -tokens, at: now})
--- a/budget/pool.go
+++ b/budget/pool.go
@@ -8,7 +8,7 @@
 	// needWindow is the number of reservations that the mean need averages over.
 	needWindow = 8
 	// startupDelay is how long after its start a router prefetches nothing: by then it has
-	// discovered the other routers and knows whether it is a home at all.
+	// discovered the other routers and knows whether it is an owner at all.
 	startupDelay = 500 * time.Millisecond
 )
 
@@ -16,7 +16,7 @@
 type waiter struct {
 	token      uint64
 	need       int64
-	drawSentAt time.Time // zero: no draw has been sent to the home
+	drawSentAt time.Time // zero: no draw has been sent to the owner
 	// peersOnly tells that the store has only the tail left, which this request may not
 	// take from: only tokens held by other routers can serve it.
 	peersOnly bool
@@ -44,7 +44,7 @@
 	waiting map[string]bool
 }
 
-// lookup is the state of the home's search in the store.
+// lookup is the state of the owner's search in the store.
 type lookup int
 
 const (
@@ -56,40 +56,40 @@
 
 // pool is what one router holds of one budget.
 type pool struct {
-	id               string
-	page             int
-	balance          int64
-	reserved         int64
-	escrow           int64 // part of the balance that is not usable yet
-	waiters          []waiter
-	draws            []draw
-	loans            []loanRequest
-	drawTarget       string
-	prefetchSentAt   time.Time // when a draw ahead of demand was sent; zero: none is outstanding
-	recall           recallRound
-	borrowing        borrowing
-	lookup           lookup
-	lookedAt         time.Time
-	shortAt          time.Time // when the store last had too few tokens
-	unknown          bool
-	scarce           bool
-	home             Peer
-	unreachableHome  string               // the home that did not receive the last draw; empty: it did
-	unreachableAt    time.Time            // when that became known
-	skippedHomes     map[string]time.Time // homes that redirected or did not answer, and when
-	awaitingNextHome bool                 // the next home is not known yet
-	sent             map[string]int64     // by the receiver's incarnation
-	received         map[string]int64     // by the sender's incarnation
-	holders          map[string]*holder
-	demand           rate      // rate of tokens asked for
-	tailSince        time.Time // when only the tail was left; zero: more is left
-	meanNeed         float64   // mean tokens per reservation, exponentially weighted by count
-	lastUse          time.Time
-	active           bool // in the agent's list of active pools
+	id                string
+	page              int
+	balance           int64
+	reserved          int64
+	escrow            int64 // part of the balance that is not usable yet
+	waiters           []waiter
+	draws             []draw
+	loans             []loanRequest
+	drawTarget        string
+	prefetchSentAt    time.Time // when a draw ahead of demand was sent; zero: none is outstanding
+	recall            recallRound
+	borrowing         borrowing
+	lookup            lookup
+	lookedAt          time.Time
+	shortAt           time.Time // when the store last had too few tokens
+	unknown           bool
+	scarce            bool
+	owner             Peer
+	unreachableOwner  string               // the owner that did not receive the last draw; empty: it did
+	unreachableAt     time.Time            // when that became known
+	skippedOwners     map[string]time.Time // owners that redirected or did not answer, and when
+	awaitingSuccessor bool                 // the successor is not known yet
+	sent              map[string]int64     // by the receiver's incarnation
+	received          map[string]int64     // by the sender's incarnation
+	holders           map[string]*holder
+	demand            rate      // rate of tokens asked for
+	tailSince         time.Time // when only the tail was left; zero: more is left
+	meanNeed          float64   // mean tokens per reservation, exponentially weighted by count
+	lastUse           time.Time
+	active            bool // in the agent's list of active pools
 }
 
 func newPool(id string, page int, window time.Duration) *pool {
-	return &pool{id: id, page: page, demand: rate{window: window}, skippedHomes: map[string]time.Time{}, sent: map[string]int64{}, received: map[string]int64{}, holders: map[string]*holder{}}
+	return &pool{id: id, page: page, demand: rate{window: window}, skippedOwners: map[string]time.Time{}, sent: map[string]int64{}, received: map[string]int64{}, holders: map[string]*holder{}}
 }
 
 // recordUse records that a request of need tokens asked for the budget.
@@ -151,7 +151,7 @@
 	return waiter{}, false
 }
 
-// drawPending reports whether a draw sent to the home is unanswered.
+// drawPending reports whether a draw sent to the owner is unanswered.
 func (p *pool) drawPending() bool {
 	for _, w := range p.waiters {
 		if !w.drawSentAt.IsZero() {
@@ -169,7 +169,7 @@
 	p.prefetchSentAt = time.Time{}
 }
 
-// resetDraw marks one draw that did not reach the home as not sent: that of a waiting
+// resetDraw marks one draw that did not reach the owner as not sent: that of a waiting
 // reservation, or the prefetch if token is 0.
 func (p *pool) resetDraw(token uint64) {
 	if token == 0 {
@@ -183,7 +183,7 @@
 	}
 }
 
-// drawTimedOut reports whether the home has left a draw unanswered for at least timeout.
+// drawTimedOut reports whether the owner has left a draw unanswered for at least timeout.
 func (p *pool) drawTimedOut(now time.Time, timeout time.Duration) bool {
 	for _, w := range p.waiters {
 		if !w.drawSentAt.IsZero() && now.Sub(w.drawSentAt) >= timeout {
@@ -257,7 +257,7 @@
 }
 
 // grant moves tokens to the drawing router: what it needs, and more for its expected
-// demand unless tokens are scarce. The granted amount counts as the home's demand, since
+// demand unless tokens are scarce. The granted amount counts as the owner's demand, since
 // most draws are prefetches whose own need is small.
 func (a *Agent) grant(now time.Time, p *pool, d draw) {
 	amount := d.need
--- a/budget/redirect_test.go
+++ b/budget/redirect_test.go
@@ -8,29 +8,29 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// redirectingHomes are routers that each name another one as the home of a budget.
-type redirectingHomes struct {
+// redirectingOwners are routers that each name another one as the owner of a budget.
+type redirectingOwners struct {
 	now      time.Time
 	agent    *budget.Agent
-	skipped  map[string]bool // skipped homes, until another answer is received from them
+	skipped  map[string]bool // skipped owners, until another answer is received from them
 	ranked   []string
 	draws    int
 	resolved []budget.Resolve
 }
 
-func newRedirectingHomes() *redirectingHomes {
-	h := &redirectingHomes{now: epoch.Add(time.Hour), skipped: map[string]bool{}, ranked: []string{"x", "y", "z"}}
+func newRedirectingOwners() *redirectingOwners {
+	h := &redirectingOwners{now: epoch.Add(time.Hour), skipped: map[string]bool{}, ranked: []string{"x", "y", "z"}}
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
 	cfg.Started = epoch
-	cfg.Home = func(time.Time, string) string { return h.home() }
+	cfg.Owner = func(time.Time, string) string { return h.owner() }
 	cfg.Running = func(id string) budget.Peer { return budget.Peer{ID: id, Incarnation: id + "/1"} }
 	h.agent = budget.NewAgent(cfg)
 	return h
 }
 
-// home returns the first router that is not skipped, or the first if all are.
-func (h *redirectingHomes) home() string {
+// owner returns the first router that is not skipped, or the first if all are.
+func (h *redirectingOwners) owner() string {
 	for _, id := range h.ranked {
 		if !h.skipped[id] {
 			return id
@@ -40,8 +40,8 @@
 }
 
 // perform carries out effects: each router that is asked answers that another one is the
-// home.
-func (h *redirectingHomes) perform(t *testing.T, effects []budget.Effect) {
+// owner.
+func (h *redirectingOwners) perform(t *testing.T, effects []budget.Effect) {
 	t.Helper()
 	for len(effects) > 0 && h.draws < 1000 {
 		e := effects[0]
@@ -68,14 +68,14 @@
 	}
 }
 
-// TestHomesThatRedirectAreAskedOnce guards against an endless redirect loop. The store is
-// unavailable to all routers, each router that could be the home of a budget answers that
+// TestOwnersThatRedirectAreAskedOnce guards against an endless redirect loop. The store is
+// unavailable to all routers, each router that could be the owner of a budget answers that
 // another one is, and other calls show that all of them are reachable. In a test day one
 // router was skipped forty times in a tenth of a second by one other, and 20,000 times in
 // twelve seconds by the fleet; the callers waited meanwhile, and small routers that became
-// homes this way caused write conflicts on the page.
-func TestHomesThatRedirectAreAskedOnce(t *testing.T) {
-	h := newRedirectingHomes()
+// owners this way caused write conflicts on the page.
+func TestOwnersThatRedirectAreAskedOnce(t *testing.T) {
+	h := newRedirectingOwners()
 	_, granted, effects := h.agent.Reserve(h.now, "b", 10)
 	if granted {
 		t.Fatal("granted without tokens")
--- a/budget/search.go
+++ b/budget/search.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// This file implements how a home obtains more tokens: from the store, then from the
+// This file implements how an owner obtains more tokens: from the store, then from the
 // holders that it granted tokens to, then from other routers; if all fail, it refuses.
 
 // advance grants what the balance covers and searches for more for the rest.
@@ -18,11 +18,11 @@
 		p.resetLookup()
 		return
 	}
-	home := a.isHome(now, p.id)
-	if !home && len(p.waiters) > 0 {
+	owner := a.isOwner(now, p.id)
+	if !owner && len(p.waiters) > 0 {
 		a.sendDraws(now, p)
 	}
-	if !home && len(p.draws) == 0 {
+	if !owner && len(p.draws) == 0 {
 		return
 	}
 	switch {
@@ -53,20 +53,20 @@
 	if p.scarce || a.closing || p.lookup == lookupRunning || p.recall.active || a.startingUp(now) {
 		return
 	}
-	if a.isHome(now, p.id) {
+	if a.isOwner(now, p.id) {
 		if (p.balance < a.refillThreshold(now, p) || a.needsEscrowRewrite(now, p)) && now.Sub(p.lookedAt) >= a.cfg.CheckEvery {
 			a.drawFromStore(now, p, 0)
 		}
 		return
 	}
-	if p.drawPending() || p.awaitingNextHome || a.homeUnreachable(now, p) && now.Sub(p.unreachableAt) < unreachableHomePause || p.balance >= a.entryTarget(now, p)/freeDivisor {
+	if p.drawPending() || p.awaitingSuccessor || a.ownerUnreachable(now, p) && now.Sub(p.unreachableAt) < unreachableOwnerPause || p.balance >= a.entryTarget(now, p)/freeDivisor {
 		return
 	}
 	p.prefetchSentAt = now
 	a.emit(Send{a.drawMessage(now, p, 0, 1)})
 }
 
-// search takes the home's next step to obtain tokens: the store, then the holders, then
+// search takes the owner's next step to obtain tokens: the store, then the holders, then
 // the other routers, then a refusal. Each step is taken once per search.
 func (a *Agent) search(now time.Time, p *pool) {
 	if a.mayDraw(now, p) {
@@ -88,9 +88,9 @@
 }
 
 // unreachableCause returns the cause of a refusal when the store does not answer: Moved if
-// another router, which the store may answer, has become the home.
+// another router, which the store may answer, has become the owner.
 func (a *Agent) unreachableCause(now time.Time, p *pool) Cause {
-	if a.isHome(now, p.id) {
+	if a.isOwner(now, p.id) {
 		return Unreachable
 	}
 	return Moved
--- a/budget/shared_home_test.go
+++ b/budget/shared_owner_test.go
@@ -10,10 +10,10 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// setSharedHome configures a router of a large fleet: one router is the home for all, and
+// setSharedOwner configures a router of a large fleet: one router is the owner for all, and
 // the others hold tokens only if they have many requests.
-func (n *network) setSharedHome(cfg *budget.Config) {
-	cfg.Home = func(time.Time, string) string { return fmt.Sprintf("r%d", n.home) }
+func (n *network) setSharedOwner(cfg *budget.Config) {
+	cfg.Owner = func(time.Time, string) string { return fmt.Sprintf("r%d", n.owner) }
 	cfg.Running = func(id string) budget.Peer {
 		return budget.Peer{ID: id, Incarnation: n.byID(id).incarnation()}
 	}
@@ -24,26 +24,26 @@
 	cfg.TailShare, cfg.TailTime = 0.02, 15*time.Second
 }
 
-// newSharedHomeNetwork returns a network of three routers whose home is the first.
-func newSharedHomeNetwork(t *rapid.T, limit int64) *network {
-	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: limit, limitVersion: 1, sharedHome: true}
+// newSharedOwnerNetwork returns a network of three routers whose owner is the first.
+func newSharedOwnerNetwork(t *rapid.T, limit int64) *network {
+	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: limit, limitVersion: 1, sharedOwner: true}
 	for i := range 3 {
 		n.routers = append(n.routers, &router{index: i})
 	}
 	for _, r := range n.routers {
-		n.bootOwnHome(r)
+		n.bootSelfOwner(r)
 	}
 	return n
 }
 
-// TestPooledNeverOverspends drives three routers with one home through lost, late and
-// duplicated messages and writes, changes of the home, store outages, top-ups, planned
+// TestPooledNeverOverspends drives three routers with one owner through lost, late and
+// duplicated messages and writes, changes of the owner, store outages, top-ups, planned
 // stops, and deaths of one or all processes.
 func TestPooledNeverOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newSharedHomeNetwork(t, 200)
+		n := newSharedOwnerNetwork(t, 200)
 		all := escrowActions(n)
-		all["home"] = func(t *rapid.T) { n.home = rapid.IntRange(0, 2).Draw(t, "home") }
+		all["home"] = func(t *rapid.T) { n.owner = rapid.IntRange(0, 2).Draw(t, "home") }
 		t.Repeat(all)
 	})
 }
@@ -81,14 +81,14 @@
 
 func (n *network) held(i int) int64 { return n.routers[i].agent.Holding(testBudget).Balance }
 
-// TestInitialBalanceIsDrawnBeforeRequests: the home holds some tokens before the first
+// TestInitialBalanceIsDrawnBeforeRequests: the owner holds some tokens before the first
 // request asks for any, and the other routers hold none.
 func TestInitialBalanceIsDrawnBeforeRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newSharedHomeNetwork(t, 100000)
+		n := newSharedOwnerNetwork(t, 100000)
 		n.advance(time.Second)
 		if n.held(0) != 5000 || n.held(1) != 0 {
-			t.Fatalf("the home holds %d of 5000, another router %d", n.held(0), n.held(1))
+			t.Fatalf("the owner holds %d of 5000, another router %d", n.held(0), n.held(1))
 		}
 	})
 }
@@ -97,7 +97,7 @@
 // tokens between them; one with many does.
 func TestRouterWithFewRequestsHoldsNoTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newSharedHomeNetwork(t, 1000000)
+		n := newSharedOwnerNetwork(t, 1000000)
 		n.advance(time.Second)
 		seldom, often := n.routers[1], n.routers[2]
 		for range 10 {
@@ -124,11 +124,11 @@
 	})
 }
 
-// TestHomeGrantsWhatItHolds: a home grants what it holds even when the store has only the
+// TestOwnerGrantsWhatItHolds: an owner grants what it holds even when the store has only the
 // tail of the budget left.
-func TestHomeGrantsWhatItHolds(t *testing.T) {
+func TestOwnerGrantsWhatItHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newSharedHomeNetwork(t, 10000)
+		n := newSharedOwnerNetwork(t, 10000)
 		entry := n.routers[1]
 		served := int64(0)
 		for range 200 { // 500 tokens a second
@@ -141,26 +141,26 @@
 			n.advance(200 * time.Millisecond)
 		}
 		if served < 9700 {
-			t.Fatalf("%d of 10000 tokens served, %d held by the home", served, n.held(0))
+			t.Fatalf("%d of 10000 tokens served, %d held by the owner", served, n.held(0))
 		}
 	})
 }
 
-// TestHomeWithoutStoreRedirects: a home that cannot reach the store, while others can,
-// redirects routers that ask for tokens to the next home.
-func TestHomeWithoutStoreRedirects(t *testing.T) {
+// TestOwnerWithoutStoreRedirects: an owner that cannot reach the store, while others can,
+// redirects routers that ask for tokens to the successor.
+func TestOwnerWithoutStoreRedirects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newSharedHomeNetwork(t, 100000)
+		n := newSharedOwnerNetwork(t, 100000)
 		entry := n.routers[1]
-		n.reserve(entry, 7000) // more than the home may hold
+		n.reserve(entry, 7000) // more than the owner may hold
 		n.deliver(0, "once")
-		n.home = 2 // as the first home sees it from now on
+		n.owner = 2 // as the first owner sees it from now on
 		for len(n.routers[0].storeCalls) > 0 {
 			n.answer(n.routers[0], "unavailable")
 		}
 		n.exchangeNow()
 		if len(entry.running) != 1 {
-			t.Fatalf("not served by the next home; waiting: %v", n.waiting)
+			t.Fatalf("not served by the successor; waiting: %v", n.waiting)
 		}
 	})
 }
@@ -169,20 +169,20 @@
 // them.
 func TestConflictsBackOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := newSharedHomeNetwork(t, 100000)
-		home := n.routers[0]
-		n.reserve(home, 90000)
+		n := newSharedOwnerNetwork(t, 100000)
+		owner := n.routers[0]
+		n.reserve(owner, 90000)
 		writes := 0
 		for range 20 { // a second
-			for len(home.storeCalls) > 0 {
-				if _, isWrite := home.storeCalls[0].(budget.WritePage); isWrite {
+			for len(owner.storeCalls) > 0 {
+				if _, isWrite := owner.storeCalls[0].(budget.WritePage); isWrite {
 					writes++
 					n.version++ // another router wrote first
 				}
-				n.answer(home, "done")
+				n.answer(owner, "done")
 			}
 			n.now = n.now.Add(50 * time.Millisecond)
-			n.perform(home, home.agent.Tick(n.now))
+			n.perform(owner, owner.agent.Tick(n.now))
 		}
 		if writes < 3 || writes > 16 {
 			t.Fatalf("%d writes in a second of conflicts", writes)
--- a/budget/stop_test.go
+++ b/budget/stop_test.go
@@ -37,7 +37,7 @@
 		n, r := newSingleRouter(t)
 		successor := &router{index: 1}
 		n.routers = append(n.routers, successor)
-		n.bootOwnHome(successor)
+		n.bootSelfOwner(successor)
 		n.rebootWithLenders(r)
 		held := r.agent.Holding(testBudget).Balance
 		n.now = n.now.Add(releaseWithin)
@@ -55,6 +55,6 @@
 // rebootWithLenders restarts the router with the others as lenders and lets it draw.
 func (n *network) rebootWithLenders(r *router) {
 	n.now = n.now.Add(time.Minute)
-	n.bootOwnHome(r)
+	n.bootSelfOwner(r)
 	n.serve(r, 40)
 }
--- a/budget/tail_test.go
+++ b/budget/tail_test.go
@@ -17,7 +17,7 @@
 		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 200000, limitVersion: 1, tail: true}
 		r := &router{index: 0}
 		n.routers = []*router{r}
-		n.bootOwnHome(r)
+		n.bootSelfOwner(r)
 		servedAt := map[int]int{}
 		large := rapid.Int64Range(2000, 6000).Draw(t, "large")
 		for i := range 700 { // 10 requests a second, 70 s
@@ -56,7 +56,7 @@
 			n.routers = append(n.routers, &router{index: i})
 		}
 		for _, r := range n.routers {
-			n.bootOwnHome(r)
+			n.bootSelfOwner(r)
 		}
 		r := n.routers[0]
 		need := rapid.Int64Range(600, 1400).Draw(t, "need")
--- a/budget/undelivered_test.go
+++ b/budget/undelivered_test.go
@@ -7,7 +7,7 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// Guards against draws that multiply while the home of a budget accepts none: each failed
+// Guards against draws that multiply while the owner of a budget accepts none: each failed
 // draw made the router send draws again for all waiting requests, so that 28,000 were in
 // transit within 2 s at a router whose link was saturated.
 func TestUndeliveredDrawsDoNotMultiply(t *testing.T) {
@@ -26,7 +26,7 @@
 			cfg := budget.DefaultConfig()
 			cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
 			cfg.Started = epoch
-			cfg.Home = func(now time.Time, _ string) string { return to(now) }
+			cfg.Owner = func(now time.Time, _ string) string { return to(now) }
 			agent := budget.NewAgent(cfg)
 			type sentDraw struct {
 				message budget.Message
@@ -58,7 +58,7 @@
 				}
 				perform(agent.Tick(now))
 			}
-			// One draw per waiting request for each home, and one per failure after that.
+			// One draw per waiting request for each owner, and one per failure after that.
 			if maxSent := 3*waiting + int(span/failsAfter)*waiting; sent > maxSent {
 				t.Errorf("%d draws in %v, at most %d", sent, span, maxSent)
 			}
@@ -72,14 +72,14 @@
 	}
 }
 
-// Guards against a router that does not immediately ask a home that runs as a new process,
-// or that keeps holding draws back once the home accepts them.
-func TestRestartedHomeIsAskedAtOnce(t *testing.T) {
+// Guards against a router that does not immediately ask an owner that runs as a new process,
+// or that keeps holding draws back once the owner accepts them.
+func TestRestartedOwnerIsAskedAtOnce(t *testing.T) {
 	now := epoch.Add(time.Hour)
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
 	cfg.Started = epoch
-	cfg.Home = func(time.Time, string) string { return "x" }
+	cfg.Owner = func(time.Time, string) string { return "x" }
 	agent := budget.NewAgent(cfg)
 	draws := func(effects []budget.Effect) (list []budget.Message) {
 		for _, e := range effects {
@@ -108,7 +108,7 @@
 	}
 	third := draws(agent.Undelivered(now, second[0], true)) // it now runs as x/2
 	if len(third) != 1 || third[0].To.Incarnation != "" {
-		t.Fatalf("after the home has restarted: asked %+v", third)
+		t.Fatalf("after the owner has restarted: asked %+v", third)
 	}
 	if again := draws(agent.Undelivered(now, third[0], true)); len(again) > 0 {
 		t.Errorf("asked again at once: %+v", again)
@@ -121,7 +121,7 @@
 	grant(fourth[0], "x/2")
 	for range 2 {
 		if _, _, effects = agent.Reserve(now, "b", 10); len(draws(effects)) != 1 {
-			t.Error("a draw waits although the home answers")
+			t.Error("a draw waits although the owner answers")
 		}
 	}
 }
--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -59,9 +59,9 @@
 	storeLost func() bool
 }
 
-// homeByPage makes one router the home of all budgets of a page, so that one
+// ownerByPage makes one router the owner of all budgets of a page, so that one
 // write renews all of them.
-func homeByPage(pages int, m Members) func(time.Time, string) string {
+func ownerByPage(pages int, m Members) func(time.Time, string) string {
 	roles := make([]string, pages)
 	for n := range roles {
 		roles[n] = budget.Role(n)
@@ -77,12 +77,12 @@
 // loss and advances only while tokens can be used.
 func escrowTime() time.Time { return time.Now() }
 
-// New returns a controller. Without cfg.Home, the member ranked first for a
-// page's role is the home of the page's budgets. onStop is called when this holder
+// New returns a controller. Without cfg.Owner, the member ranked first for a
+// page's role is the owner of the page's budgets. onStop is called when this holder
 // learns that it has been fenced.
 func New(cfg budget.Config, s store.Store, m Members, p *peer.Client, log *zap.Logger, onStop func()) *Controller {
-	if cfg.Home == nil {
-		cfg.Home = homeByPage(cfg.Pages, m)
+	if cfg.Owner == nil {
+		cfg.Owner = ownerByPage(cfg.Pages, m)
 	}
 	return &Controller{
 		store:   s,
--- a/controller/budgets/budgets_test.go
+++ b/controller/budgets/budgets_test.go
@@ -35,7 +35,7 @@
 func (congestedMembers) Restarted(string)                {}
 func grant(m *budget.Message)                            { m.Kind, m.Scarce = budget.Grant, true }
 
-// newController returns a controller and its client. The home of all budgets is at addr.
+// newController returns a controller and its client. The owner of all budgets is at addr.
 func newController(addr string) (*budgets.Controller, *peer.Client) {
 	client := peer.NewClient(peer.Options{DialTimeout: 200 * time.Millisecond})
 	cfg := budget.DefaultConfig()
@@ -44,7 +44,7 @@
 	return budgets.New(cfg, memory.New(), congestedMembers{addr: addr}, client, zap.NewNop(), func() {}), client
 }
 
-// makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the home
+// makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the owner
 // for the tokens of each request separately.
 func makeScarce(t *testing.T, c *budgets.Controller) {
 	t.Helper()
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against calls and goroutines that multiply while the home of a budget accepts no
+// Guards against calls and goroutines that multiply while the owner of a budget accepts no
 // messages.
 func TestWaitingRequestsDoNotMultiplyCalls(t *testing.T) {
 	const (
@@ -99,7 +99,7 @@
 	}
 }
 
-// Guards against treating the home as unresponsive when only the link to it is slow: on a
+// Guards against treating the owner as unresponsive when only the link to it is slow: on a
 // congested link the timeout is longer.
 func TestMessageTimeoutIsLongerOnACongestedLink(t *testing.T) {
 	const takes = 500 * time.Millisecond
--- a/controller/budgets/ticks_test.go
+++ b/controller/budgets/ticks_test.go
@@ -18,7 +18,7 @@
 	"github.com/gaplink/gaplink/wakeups"
 )
 
-// soloMembers is the membership view of a router without peers, which is thus the home of all budgets.
+// soloMembers is the membership view of a router without peers, which is thus the owner of all budgets.
 type soloMembers struct{ budgets.Members }
 
 func (soloMembers) Self() membership.Member        { return membership.Member{ID: "self"} }
--- a/lab/policy.go
+++ b/lab/policy.go
@@ -45,7 +45,7 @@
 	return []contender{
 		{"static shares", func(s policy.Scenario) policy.Result { return policy.Run(s, "static shares", policy.Static) }},
 		{"fixed grants", func(s policy.Scenario) policy.Result { return policy.Run(s, "fixed grants", policy.Fixed) }},
-		{"one home", func(s policy.Scenario) policy.Result { return policy.Run(s, "one home", policy.Home) }},
+		{"one home", func(s policy.Scenario) policy.Result { return policy.Run(s, "one home", policy.Owner) }},
 		{"chosen", func(s policy.Scenario) policy.Result { return policy.Run(s, "chosen", policy.Chosen) }},
 	}
 }
--- a/lab/policy/agents.go
+++ b/lab/policy/agents.go
@@ -57,7 +57,7 @@
 		restarted: map[string]bool{},
 	}
 	a.cfg.Pages = w.scenario.Pages
-	a.cfg.HomeHorizon = w.scenario.Hold
+	a.cfg.OwnerHorizon = w.scenario.Hold
 	for i := range w.scenario.Routers {
 		a.nodes = append(a.nodes, &node{index: i})
 		a.start(a.nodes[i])
@@ -78,7 +78,7 @@
 	n.view.SetList(list)
 	cfg := a.cfg
 	cfg.Self = budget.Peer{ID: self.ID, Incarnation: n.name()}
-	cfg.Home = func(now time.Time, id string) string {
+	cfg.Owner = func(now time.Time, id string) string {
 		return n.view.First(now, budget.Role(budget.PageOf(id, a.cfg.Pages)))
 	}
 	n.agent = budget.NewAgent(cfg)
--- a/lab/policy/baselines.go
+++ b/lab/policy/baselines.go
@@ -177,31 +177,31 @@
 func (f *fixed) Locate(id string) Location { return f.held.locate(f.w, id, f.free[id], f.lost[id]) }
 
 const (
-	// homeMessageBytes is the size of a message to or from a home router, in bytes.
-	homeMessageBytes = 90
-	// homeGrants is the number of fixed-size grants that a home router draws at once.
-	homeGrants = 4
-	// emptyRetryDelay is the delay before a home router draws again after the store had too few tokens.
+	// ownerMessageBytes is the size of a message to or from an owner, in bytes.
+	ownerMessageBytes = 90
+	// ownerGrants is the number of fixed-size grants that an owner draws at once.
+	ownerGrants = 4
+	// emptyRetryDelay is the delay before an owner draws again after the store had too few tokens.
 	emptyRetryDelay = 100 * time.Millisecond
 )
 
-// home assigns each budget to one router. Every reservation and settlement is a
+// owner assigns each budget to one router. Every reservation and settlement is a
 // message to that router.
-type home struct {
+type owner struct {
 	fixed
 	emptySince map[string]time.Time
 }
 
-// Home returns an allocator with one home router for each budget.
-func Home(w *simulation) Allocator {
-	return &home{
+// Owner returns an allocator with one owner for each budget.
+func Owner(w *simulation) Allocator {
+	return &owner{
 		fixed:      fixed{storeBalances: newStoreBalances(w), held: newBalances(w.scenario.Routers), lost: map[string]int64{}},
 		emptySince: map[string]time.Time{},
 	}
 }
 
-// homeOf returns the first router in the budget's order that the given router can reach.
-func (h *home) homeOf(router int, id string) int {
+// ownerOf returns the first router in the budget's order that the given router can reach.
+func (h *owner) ownerOf(router int, id string) int {
 	n := h.w.scenario.Routers
 	first := int(xxhash.Sum64String(id) % uint64(n))
 	for k := range n {
@@ -214,8 +214,8 @@
 }
 
 // Reserve implements Allocator.
-func (h *home) Reserve(router int, id string, need int64, done func(bool)) {
-	at := h.homeOf(router, id)
+func (h *owner) Reserve(router int, id string, need int64, done func(bool)) {
+	at := h.ownerOf(router, id)
 	h.message(router, at)
 	h.w.After(h.w.delay(router, at), func() {
 		h.decide(at, id, need, func(ok bool) {
@@ -225,15 +225,15 @@
 	})
 }
 
-func (h *home) message(from, to int) {
+func (h *owner) message(from, to int) {
 	if from == to {
 		return
 	}
 	h.w.counts.Messages++
-	h.w.counts.Bytes += homeMessageBytes
+	h.w.counts.Bytes += ownerMessageBytes
 }
 
-func (h *home) decide(at int, id string, need int64, done func(bool)) {
+func (h *owner) decide(at int, id string, need int64, done func(bool)) {
 	if h.take(at, id, need) {
 		done(true)
 		return
@@ -242,7 +242,7 @@
 		done(false)
 		return
 	}
-	h.draw(id, need, homeGrants*grantTokens, func(tokens int64) {
+	h.draw(id, need, ownerGrants*grantTokens, func(tokens int64) {
 		if tokens == 0 {
 			h.emptySince[id] = h.w.Now
 		}
@@ -252,8 +252,8 @@
 }
 
 // Settle implements Allocator.
-func (h *home) Settle(router int, id string, reserved, actual int64) {
-	at := h.homeOf(router, id)
+func (h *owner) Settle(router int, id string, reserved, actual int64) {
+	at := h.ownerOf(router, id)
 	h.message(router, at)
 	h.w.After(h.w.delay(router, at), func() { h.held[at][id] += reserved - actual })
 }
--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -100,7 +100,7 @@
 	cfg := budget.DefaultConfig()
 	cfg.Pages = pages
 	cfg.Self = budget.Peer{ID: "r0", Incarnation: "r0/x"}
-	cfg.Home = func(time.Time, string) string { return "r1" }
+	cfg.Owner = func(time.Time, string) string { return "r1" }
 	a := budget.NewAgent(cfg)
 	now := time.Unix(1000, 0)
 	for i := range budgets {
--- a/router/router.go
+++ b/router/router.go
@@ -174,7 +174,7 @@
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: r.settings.Instance.ID, Incarnation: r.incarnation}
 	cfg.Pages = r.settings.Budgets.Pages
-	cfg.HomeHorizon = r.settings.Budgets.Hold.Std()
+	cfg.OwnerHorizon = r.settings.Budgets.Hold.Std()
 	cfg.EntryHorizon = r.settings.Budgets.EntryHold.Std()
 	return cfg
 }
--- a/server/provision.go
+++ b/server/provision.go
@@ -217,8 +217,8 @@
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: s.settings.Instance.ID, Incarnation: s.incarnation}
 	cfg.Pages = 1
-	cfg.Home = s.ownerOf
-	cfg.HomeHorizon = s.settings.Budgets.Hold.Std()
+	cfg.Owner = s.ownerOf
+	cfg.OwnerHorizon = s.settings.Budgets.Hold.Std()
 	cfg.RefillBelow = s.settings.Budgets.Refill
 	cfg.EntryHorizon = entryHorizon
 	cfg.EntryLeast = entryMinRequests
