--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -84,7 +84,7 @@
 
 // refreshEscrow recomputes how much of the balance may not be used now: what the page in
 // the store says, or may say if a write's answer is outstanding or lost.
-func (a *Agent) refreshEscrow(now time.Time, p *pool) {
+func (a *Agent) refreshEscrow(now time.Time, p *accountBalance) {
 	p.escrow = 0
 	ps := a.pages[p.page]
 	if !a.keepsEscrow() || ps == nil {
@@ -100,11 +100,11 @@
 func (a *Agent) keepsEscrow() bool { return a.cfg.OpenHorizon > 0 }
 
 // usable returns the tokens that may be spent or lent now.
-func (p *pool) usable() int64 { return p.balance - p.escrow }
+func (p *accountBalance) usable() int64 { return p.balance - p.escrow }
 
 // usableTarget returns how many tokens a write of the page leaves usable: the demand until
 // the page is likely written again.
-func (a *Agent) usableTarget(now time.Time, p *pool) int64 {
+func (a *Agent) usableTarget(now time.Time, p *accountBalance) int64 {
 	target := p.expectedDemand(now, a.cfg.OpenHorizon)
 	return max(target, int64(a.cfg.HeldRequests*p.meanNeed)) + p.requested()
 }
@@ -137,7 +137,7 @@
 // needsEscrowRewrite reports whether the page should be written for its escrow alone: so
 // little is usable that more should be released, or so much that the excess should be put
 // in escrow again.
-func (a *Agent) needsEscrowRewrite(now time.Time, p *pool) bool {
+func (a *Agent) needsEscrowRewrite(now time.Time, p *accountBalance) bool {
 	if !a.keepsEscrow() {
 		return false
 	}
@@ -149,7 +149,7 @@
 }
 
 // exceedsUsableTarget reports whether far more is usable than a write would leave usable.
-func (a *Agent) exceedsUsableTarget(now time.Time, p *pool, usable, target float64) bool {
+func (a *Agent) exceedsUsableTarget(now time.Time, p *accountBalance, usable, target float64) bool {
 	ps := a.pages[p.page]
 	if ps == nil || ps.write != nil || now.Sub(ps.wroteAt) < a.cfg.ResealEvery {
 		return false
--- a/budget/holding.go
+++ b/budget/holding.go
@@ -29,7 +29,7 @@
 
 // Seen returns the data that the next decision on a budget would be based on.
 func (a *Agent) Seen(now time.Time, id string) Seen {
-	p, ok := a.pools[id]
+	p, ok := a.balances[id]
 	if !ok {
 		return Seen{}
 	}
@@ -48,13 +48,13 @@
 // what it was sent before is reclaimed, but what was sent afterwards would be lost.
 func (a *Agent) Fence(incarnation string) {
 	a.fenced[incarnation] = true
-	for _, p := range a.pools {
+	for _, p := range a.balances {
 		p.removeIncarnation(incarnation)
 	}
 }
 
-// removeIncarnation drops a fenced incarnation from the pool's peers.
-func (p *pool) removeIncarnation(incarnation string) {
+// removeIncarnation drops a fenced incarnation from the account balance's peers.
+func (p *accountBalance) removeIncarnation(incarnation string) {
 	if p.owner.Incarnation == incarnation {
 		p.owner = Peer{}
 	}
@@ -70,7 +70,7 @@
 
 // Holding returns what this router holds of a budget.
 func (a *Agent) Holding(id string) Holding {
-	p, ok := a.pools[id]
+	p, ok := a.balances[id]
 	if !ok {
 		return Holding{}
 	}
@@ -85,8 +85,8 @@
 
 // Holdings returns what this router holds of every budget that it has used.
 func (a *Agent) Holdings() map[string]Holding {
-	all := make(map[string]Holding, len(a.pools))
-	for id := range a.pools {
+	all := make(map[string]Holding, len(a.balances))
+	for id := range a.balances {
 		all[id] = a.Holding(id)
 	}
 	return all
--- a/budget/limits.go
+++ b/budget/limits.go
@@ -23,7 +23,7 @@
 		}
 		a.limits[id] = next
 		if a.cfg.StarterShare > 0 {
-			a.pool(id).lastUse = now
+			a.accountBalance(id).lastUse = now
 		}
 		if known && next.Tokens < old.Tokens {
 			a.returnLowered(now, id)
@@ -40,15 +40,15 @@
 
 // returnLowered returns the balance of a budget whose limit was lowered to the store.
 func (a *Agent) returnLowered(now time.Time, id string) {
-	p, held := a.pools[id]
+	p, held := a.balances[id]
 	if held && p.balance > 0 {
-		a.returnToStore(now, a.pool(id))
+		a.returnToStore(now, a.accountBalance(id))
 	}
 }
 
 // limitRaised makes the next reservation query the store again.
 func (a *Agent) limitRaised(id string) {
-	if p, held := a.pools[id]; held {
+	if p, held := a.balances[id]; held {
 		p.scarce = false
 		p.shortAt = time.Time{}
 	}
--- a/budget/tail.go
+++ b/budget/tail.go
@@ -19,13 +19,13 @@
 }
 
 // inTail reports whether, as far as this router knows, only the tail is left.
-func (a *Agent) inTail(p *pool) bool {
+func (a *Agent) inTail(p *accountBalance) bool {
 	r := a.record(p)
 	return r != nil && a.cfg.TailShare > 0 && r.Free() <= a.tail(r)
 }
 
 // trackTail records when a budget reached its tail.
-func (a *Agent) trackTail(now time.Time, p *pool) {
+func (a *Agent) trackTail(now time.Time, p *accountBalance) {
 	switch {
 	case !a.inTail(p):
 		p.tailSince = time.Time{}
@@ -35,7 +35,7 @@
 }
 
 // record returns the budget in the router's copy of its page, or nil if there is none.
-func (a *Agent) record(p *pool) *Record {
+func (a *Agent) record(p *accountBalance) *Record {
 	ps := a.pages[p.page]
 	if ps == nil || !ps.have {
 		return nil
@@ -47,7 +47,7 @@
 // schedule must have released enough tokens for it. The schedule depends only on time and
 // on what all routers together have left of the tail, since it is not known at which
 // routers the demand arises.
-func (a *Agent) admitsTail(now time.Time, p *pool, need int64) bool {
+func (a *Agent) admitsTail(now time.Time, p *accountBalance, need int64) bool {
 	r := a.record(p)
 	tail := a.tail(r)
 	return need <= tail/tailDivisor && r.Free()-need >= a.unreleasedTail(now, p, tail)
@@ -56,7 +56,7 @@
 // unreleasedTail returns how much of the tail must be left now, counted from the time that
 // trackTail recorded: a fraction 1/e (about a third) after TailTime, and a little for long
 // after that.
-func (a *Agent) unreleasedTail(now time.Time, p *pool, tail int64) int64 {
+func (a *Agent) unreleasedTail(now time.Time, p *accountBalance, tail int64) int64 {
 	elapsed := now.Sub(p.tailSince).Seconds() / a.cfg.TailTime.Seconds()
 	return int64(float64(tail) * math.Exp(-elapsed))
 }
