--- a/budget/account_balance.go
+++ b/budget/account_balance.go
@@ -17,8 +17,8 @@
 	token      uint64
 	need       int64
 	drawSentAt time.Time // zero: no draw has been sent to the owner
-	// peersOnly tells that the store has only the tail left, which this request may not
-	// take from: only tokens held by other routers can serve it.
+	// peersOnly tells that the store has only the final reserve left, which this request
+	// may not take from: only tokens held by other routers can serve it.
 	peersOnly bool
 }
 
@@ -82,7 +82,7 @@
 	received          map[string]int64     // by the sender's incarnation
 	holders           map[string]*holder
 	demand            rate      // rate of tokens asked for
-	tailSince         time.Time // when only the tail was left; zero: more is left
+	finalReserveSince time.Time // when only the final reserve was left; zero: more is left
 	meanNeed          float64   // mean tokens per reservation, exponentially weighted by count
 	lastUse           time.Time
 	active            bool // in the agent's list of active account balances
--- a/budget/agent.go
+++ b/budget/agent.go
@@ -71,13 +71,13 @@
 	p := a.accountBalance(id)
 	p.recordUse(now, need)
 	p.demand.add(now, need)
-	a.trackTail(now, p)
+	a.trackFinalReserve(now, p)
 	a.refreshEscrow(now, p)
 	if p.reserve(need) {
 		a.prefetch(now, p)
 		return a.token, true, a.takeEffects()
 	}
-	peersOnly := a.inTail(p) && !a.admitsTail(now, p, need)
+	peersOnly := a.inFinalReserve(p) && !a.admitsFromFinalReserve(now, p, need)
 	p.waiters = append(p.waiters, waiter{token: a.token, need: need, peersOnly: peersOnly})
 	a.advance(now, p)
 	return a.token, false, a.takeEffects()
@@ -127,7 +127,7 @@
 	switch m.Kind {
 	case Draw:
 		p.recordUse(now, max(m.Need, 1))
-		a.trackTail(now, p)
+		a.trackFinalReserve(now, p)
 		a.handleDraw(now, p, m)
 	case Grant:
 		a.handleGrant(now, p, m)
@@ -159,7 +159,7 @@
 	case a.closing:
 		a.refuseDraw(p, d, Moved)
 		return
-	case p.usable() < p.requested()+m.Need && a.inTail(p) && !a.admitsTail(now, p, m.Need):
+	case p.usable() < p.requested()+m.Need && a.inFinalReserve(p) && !a.admitsFromFinalReserve(now, p, m.Need):
 		a.refuseDraw(p, d, Exhausted)
 		return
 	}
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -46,8 +46,9 @@
 	// unavailable; for routers that draw for themselves.
 	limit, limitVersion int64
 	storeLost           bool
-	// tail makes the last fiftieth of the budget a tail with a TailTime of 15 s.
-	tail bool
+	// finalReserve makes the last fiftieth of the budget a final reserve with a
+	// FinalReserveTime of 15 s.
+	finalReserve bool
 	// sharedOwner makes one router the owner of the budget for all.
 	sharedOwner bool
 	// scarceWithin bounds what is held of a scarce budget.
--- a/budget/config.go
+++ b/budget/config.go
@@ -75,10 +75,11 @@
 	ScarceWithin time.Duration
 	// Routers returns the number of routers that draw; it may be nil if ScarceWithin is 0.
 	Routers func() int
-	// TailShare is the last share of a budget, which is released slowly: a fraction 1/e
-	// (about a third) of it is left after TailTime. 0: there is no tail.
-	TailShare float64
-	TailTime  time.Duration
+	// FinalReserveShare is the last share of a budget, which is released slowly: a
+	// fraction 1/e (about a third) of it is left after FinalReserveTime. 0: there is no
+	// final reserve.
+	FinalReserveShare float64
+	FinalReserveTime  time.Duration
 	// StarterShare is the share of a budget that all owners together hold before any
 	// request has asked for it.
 	StarterShare float64
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -55,8 +55,8 @@
 	cfg := selfOwnerConfig(fmt.Sprintf("r%d", r.index), r.incarnation(), n.at(r), lenders)
 	n.setClocks(r, &cfg)
 	cfg.StoreLost = func() bool { return n.storeLost }
-	if n.tail {
-		cfg.TailShare, cfg.TailTime = 0.02, 15*time.Second
+	if n.finalReserve {
+		cfg.FinalReserveShare, cfg.FinalReserveTime = 0.02, 15*time.Second
 	}
 	cfg.Routers = func() int { return len(n.routers) }
 	cfg.ScarceWithin = n.scarceWithin
--- a/budget/tail_test.go
+++ b/budget/final_reserve_test.go
@@ -14,7 +14,7 @@
 // more than the budget.
 func TestTailLasts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 200000, limitVersion: 1, tail: true}
+		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 200000, limitVersion: 1, finalReserve: true}
 		r := &router{index: 0}
 		n.routers = []*router{r}
 		n.bootSelfOwner(r)
@@ -42,16 +42,17 @@
 }
 
 // TestTailIsSpentWhereTheDemandIs: all callers of an account use one of six routers, and
-// its budget is small. It guards against a tail that stays unused: in a test day from 0.64
-// up to all of the tails of ten accounts was unused at the end, 15 to 30 s after their
-// budgets were spent. Each router assumed that its own demand was a sixth of the fleet's,
-// and a request could take a quarter of what was left, which for a tail of 2,400 tokens no
-// request could use. All requests were refused meanwhile, and with few requests of plain
-// services in the mix the fleet counted as not recovered from its last fault.
+// its budget is small. It guards against a final reserve that stays unused: in a test day
+// from 0.64 up to all of the final reserves of ten accounts was unused at the end, 15 to
+// 30 s after their budgets were spent. Each router assumed that its own demand was a sixth
+// of the fleet's, and a request could take a quarter of what was left, which for a final
+// reserve of 2,400 tokens no request could use. All requests were refused meanwhile, and
+// with few requests of plain services in the mix the fleet counted as not recovered from
+// its last fault.
 func TestTailIsSpentWhereTheDemandIs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const tailOf = 4000 // a fiftieth of the budget
-		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 50 * tailOf, limitVersion: 1, tail: true}
+		const reserveTokens = 4000 // a fiftieth of the budget
+		n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 50 * reserveTokens, limitVersion: 1, finalReserve: true}
 		for i := range 6 {
 			n.routers = append(n.routers, &router{index: i})
 		}
@@ -72,8 +73,8 @@
 			n.now = n.now.Add(100 * time.Millisecond)
 			n.checkSpent()
 		}
-		if left := n.limit - n.spent; left > tailOf/2 {
-			t.Fatalf("%d of a tail of %d tokens are unused 40 s after the rest was spent, by requests of %d", left, tailOf, need)
+		if left := n.limit - n.spent; left > reserveTokens/2 {
+			t.Fatalf("%d of a final reserve of %d tokens are unused 40 s after the rest was spent, by requests of %d", left, reserveTokens, need)
 		}
 	})
 }
--- a/budget/outage_test.go
+++ b/budget/outage_test.go
@@ -18,7 +18,7 @@
 // newBusyNetwork returns a network of three routers that each have served requests of 100
 // tokens, ten per second, from a budget with the given limit.
 func newBusyNetwork(t *rapid.T, limit int64) *network {
-	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: limit, limitVersion: 1, tail: true}
+	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: limit, limitVersion: 1, finalReserve: true}
 	n.scarceWithin = 10 * time.Second
 	for i := range 3 {
 		n.routers = append(n.routers, &router{index: i})
@@ -179,9 +179,9 @@
 }
 
 // TestBudgetIsSpentCompletely: an account that keeps asking for more than its budget is
-// served until only the tail and less than one request are left, whichever router holds
-// the last tokens. It guards against unused tokens: in test days with a tail of a
-// fiftieth, accounts were refused while 3 to 4% of their tokens were unused.
+// served until only the final reserve and less than one request are left, whichever router
+// holds the last tokens. It guards against unused tokens: in test days with a final
+// reserve of a fiftieth, accounts were refused while 3 to 4% of their tokens were unused.
 func TestBudgetIsSpentCompletely(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newBusyNetwork(t, 30000)
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -29,8 +29,8 @@
 	at     time.Time
 	// awaited tells that a caller waits for the write although it draws nothing.
 	awaited bool
-	// tail tells that the draw may take from the budget's tail.
-	tail bool
+	// finalReserve tells that the draw may take from the budget's final reserve.
+	finalReserve bool
 }
 
 // appliedOp is a pageOp with the number of tokens that the write moves for it.
@@ -84,7 +84,7 @@
 	p.lookup = lookupRunning
 	p.lookedAt = now
 	want := a.targetBalance(now, p)
-	a.queue(now, pageOp{budget: p.id, need: need, want: max(want-p.balance, need), tail: a.inTail(p)})
+	a.queue(now, pageOp{budget: p.id, need: need, want: max(want-p.balance, need), finalReserve: a.inFinalReserve(p)})
 }
 
 func (a *Agent) queue(now time.Time, op pageOp) {
@@ -212,7 +212,7 @@
 	}
 	for _, op := range ps.ops {
 		r := ps.page.Budgets[op.budget]
-		if op.need >= 0 && (r == nil || a.spendable(r, op.tail) < max(op.need, op.want)) {
+		if op.need >= 0 && (r == nil || a.spendable(r, op.finalReserve) < max(op.need, op.want)) {
 			return true
 		}
 	}
@@ -258,7 +258,7 @@
 	if op.need < 0 {
 		return op.need
 	}
-	free := a.spendable(r, op.tail)
+	free := a.spendable(r, op.finalReserve)
 	return max(min(op.need, free), min(op.want, free/freeDivisor))
 }
 
--- a/budget/shared_owner_test.go
+++ b/budget/shared_owner_test.go
@@ -21,7 +21,7 @@
 	cfg.EntryHorizon = 3 * time.Second
 	cfg.EntryLeast = 4
 	cfg.StarterShare = 0.05
-	cfg.TailShare, cfg.TailTime = 0.02, 15*time.Second
+	cfg.FinalReserveShare, cfg.FinalReserveTime = 0.02, 15*time.Second
 }
 
 // newSharedOwnerNetwork returns a network of three routers whose owner is the first.
@@ -125,7 +125,7 @@
 }
 
 // TestOwnerGrantsWhatItHolds: an owner grants what it holds even when the store has only the
-// tail of the budget left.
+// final reserve of the budget left.
 func TestOwnerGrantsWhatItHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newSharedOwnerNetwork(t, 10000)
--- a/server/provision.go
+++ b/server/provision.go
@@ -229,8 +229,8 @@
 	cfg.ScarceWithin = s.settings.Budgets.ScarceWithin.Std()
 	cfg.Routers = s.drawingRouters
 	cfg.StarterShare = initialDrawShare
-	cfg.TailShare = tailShare
-	cfg.TailTime = tailTime
+	cfg.FinalReserveShare = finalReserveShare
+	cfg.FinalReserveTime = finalReserveTime
 	cfg.ScarceHorizon = scarceHorizon
 	cfg.CheckEvery = 500 * time.Millisecond
 	cfg.DrawSpacing = drawBatchInterval
--- a/server/server.go
+++ b/server/server.go
@@ -69,12 +69,12 @@
 	// minRouters is the smallest fleet size assumed when a fleet-wide limit is divided
 	// among routers, since a starting router does not know the others yet.
 	minRouters = 6
-	// tailShare and tailTime reserve the last 1/200 of a budget for 15 seconds of small
-	// requests, which still serves a few percent of the requests when most budgets are
-	// spent. A share of 1/50 served no more requests and left accounts refused while
-	// tokens were unused.
-	tailShare = 0.005
-	tailTime  = 15 * time.Second
+	// finalReserveShare and finalReserveTime reserve the last 1/200 of a budget for 15 seconds of
+	// small requests, which still serves a few percent of the requests when most budgets are
+	// spent. A share of 1/50 served no more requests and left accounts refused while tokens were
+	// unused.
+	finalReserveShare = 0.005
+	finalReserveTime  = 15 * time.Second
 	// initialDrawShare is the fraction of a budget that is drawn before its first
 	// request: about a dozen requests of a large account.
 	initialDrawShare = 0.01
