--- a/budget/age.go
+++ b/budget/age.go
@@ -29,21 +29,21 @@
 
 // entryAge is the time from the write of an entry to the start of this process, by both
 // clocks of the machine.
-type entryAge struct{ steady, ofDay time.Duration }
+type entryAge struct{ steady, wallClock time.Duration }
 
 // ageAtStart returns the age of an entry when this process started.
 func (a *Agent) ageAtStart(e Escrow) entryAge {
 	return entryAge{
-		steady: a.cfg.Uptime(a.cfg.Started) - time.Duration(e.At),
-		ofDay:  time.Duration(a.cfg.StartedOfDay.UnixNano() - e.OfDay),
+		steady:    a.cfg.Uptime(a.cfg.Started) - time.Duration(e.At),
+		wallClock: time.Duration(a.cfg.StartedWallClock.UnixNano() - e.WallClock),
 	}
 }
 
 // proven reports whether the monotonic clock has run without a restart since the entry was
 // written.
 func (age entryAge) proven(e Escrow) bool {
-	difference := (age.ofDay - age.steady).Abs()
-	return e.OfDay != 0 && time.Duration(e.At) >= minUptime && difference <= maxClockDifference
+	difference := (age.wallClock - age.steady).Abs()
+	return e.WallClock != 0 && time.Duration(e.At) >= minUptime && difference <= maxClockDifference
 }
 
 // tokens returns the tokens in escrow when the entry was written, by budget.
--- a/budget/agent.go
+++ b/budget/agent.go
@@ -298,7 +298,7 @@
 		return
 	}
 	a.returnSurplus(now, p)
-	if a.cfg.StarterShare > 0 && a.isOwner(now, p.id) {
+	if a.cfg.InitialShare > 0 && a.isOwner(now, p.id) {
 		a.prefetch(now, p)
 	}
 }
@@ -331,8 +331,8 @@
 // after its registration is gone and others may reclaim its tokens.
 func (a *Agent) Seal() { a.sealed = true }
 
-// Touched returns this holder's incarnation and the pages it used.
-func (a *Agent) Touched() (holder string, pages []int) {
+// UsedPages returns this holder's incarnation and the pages it used.
+func (a *Agent) UsedPages() (holder string, pages []int) {
 	for n := range a.cfg.Pages {
 		if _, ok := a.pages[n]; ok {
 			pages = append(pages, n)
--- a/budget/borrow.go
+++ b/budget/borrow.go
@@ -46,7 +46,7 @@
 	if b.from != "" {
 		return true
 	}
-	if a.cfg.Lenders == nil || now.Sub(b.failedAt) < a.cfg.CheckEvery {
+	if a.cfg.Lenders == nil || now.Sub(b.failedAt) < a.cfg.LookupInterval {
 		return false
 	}
 	for _, lender := range a.cfg.Lenders(now, p.id) {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -89,8 +89,8 @@
 				r.running = append(r.running, need)
 			}
 			delete(n.waiting, key)
-		case budget.AskAgain:
-			n.perform(r, r.agent.AskAgain(n.at(r), e.Budget))
+		case budget.RetryOwner:
+			n.perform(r, r.agent.RetryOwner(n.at(r), e.Budget))
 		case budget.ReadPage, budget.WritePage:
 			r.storeCalls = append(r.storeCalls, e)
 		}
@@ -199,14 +199,14 @@
 		result = budget.Unavailable
 	case "late":
 		n.lateWrites = append(n.lateWrites, e)
-		result = budget.Lost
+		result = budget.ResultUnknown
 	default:
 		if !n.applyWrite(e) {
 			result = budget.Conflict
 			current = n.page.Clone()
 		}
 		if outcome == "lost" {
-			result = budget.Lost
+			result = budget.ResultUnknown
 		}
 	}
 	n.perform(r, r.agent.PageWritten(n.at(r), 0, n.version, result, current))
--- a/budget/config.go
+++ b/budget/config.go
@@ -21,23 +21,23 @@
 	// StoreLost reports whether the store does not answer; nil: unknown. A router that
 	// stops in the meantime hands its tokens to a lender.
 	StoreLost func() bool
-	// OpenHorizon is how much demand, as a duration, a write of a page leaves usable of a
+	// UsableHorizon is how much demand, as a duration, a write of a page leaves usable of a
 	// balance; the rest is held in escrow and released by a schedule, see Escrow. 0: no
-	// escrow. ResealEvery is the minimum time between two writes that renew the escrow
-	// because too much is usable.
-	OpenHorizon time.Duration
-	Release     Schedule
-	ResealEvery time.Duration
-	// Boot identifies the boot of the machine, Uptime reads its monotonic clock, TimeOfDay
-	// its wall clock, Started is when this process began, StartedOfDay the wall clock at
-	// that time, and Predecessor reports whether a holder is an earlier process of this
+	// escrow. EscrowRewriteInterval is the minimum time between two writes that renew the
+	// escrow because too much is usable.
+	UsableHorizon         time.Duration
+	Release               Schedule
+	EscrowRewriteInterval time.Duration
+	// Boot identifies the boot of the machine, Uptime reads its monotonic clock, WallClock
+	// its wall clock, Started is when this process began, StartedWallClock the wall clock
+	// at that time, and Predecessor reports whether a holder is an earlier process of this
 	// instance.
-	Boot         string
-	Uptime       func(time.Time) time.Duration
-	TimeOfDay    func() time.Time
-	Started      time.Time
-	StartedOfDay time.Time
-	Predecessor  func(holder string) bool
+	Boot             string
+	Uptime           func(time.Time) time.Duration
+	WallClock        func() time.Time
+	Started          time.Time
+	StartedWallClock time.Time
+	Predecessor      func(holder string) bool
 	// OwnerHorizon is how much demand, as a duration, an owner draws from the store in
 	// advance. It is a trade-off: a longer horizon bridges a longer outage and strands
 	// more tokens when an owner dies.
@@ -46,11 +46,11 @@
 	// scarce; 0: OwnerHorizon.
 	ScarceHorizon time.Duration
 	// EntryHorizon is how much demand an entry router holds, if that is at least
-	// EntryLeast requests of the mean size. A router with fewer requests for a budget asks
-	// its owner for each one and returns what is left over, so that few tokens lie idle in
-	// the many routers of a large fleet.
-	EntryHorizon time.Duration
-	EntryLeast   float64
+	// EntryMinRequests requests of the mean size. A router with fewer requests for a
+	// budget asks its owner for each one and returns what is left over, so that few tokens
+	// lie idle in the many routers of a large fleet.
+	EntryHorizon     time.Duration
+	EntryMinRequests float64
 	// DrawTimeout is how long an entry router waits for the owner's answer.
 	DrawTimeout time.Duration
 	// LenderTimeout is how long another router may take to answer a loan request.
@@ -60,8 +60,8 @@
 	DrawSpacing time.Duration
 	// RecallTimeout is how long an owner waits for recalled tokens.
 	RecallTimeout time.Duration
-	// CheckEvery is the minimum time between two lookups of an exhausted budget.
-	CheckEvery time.Duration
+	// LookupInterval is the minimum time between two lookups of an exhausted budget.
+	LookupInterval time.Duration
 	// PageSpacing is the minimum time between two writes of a page that no caller waits
 	// for.
 	PageSpacing time.Duration
@@ -80,9 +80,9 @@
 	// final reserve.
 	FinalReserveShare float64
 	FinalReserveTime  time.Duration
-	// StarterShare is the share of a budget that all owners together hold before any
+	// InitialShare is the share of a budget that all owners together hold before any
 	// request has asked for it.
-	StarterShare float64
+	InitialShare float64
 	// RateWindow is the time constant of the demand estimate.
 	RateWindow time.Duration
 	// Surplus is how far, as a share, an owner's balance may exceed its target before the
@@ -105,7 +105,7 @@
 		DrawTimeout:    400 * time.Millisecond,
 		LenderTimeout:  100 * time.Millisecond,
 		RecallTimeout:  150 * time.Millisecond,
-		CheckEvery:     100 * time.Millisecond,
+		LookupInterval: 100 * time.Millisecond,
 		PageSpacing:    time.Second,
 		StoreRetry:     200 * time.Millisecond,
 		RateWindow:     5 * time.Second,
--- a/budget/entry.go
+++ b/budget/entry.go
@@ -8,7 +8,7 @@
 // keepsBuffer reports whether an entry router holds tokens in advance of its requests:
 // while tokens are not scarce, and if it has enough requests for the budget.
 func (a *Agent) keepsBuffer(now time.Time, p *accountBalance) bool {
-	return !p.scarce && float64(p.expectedDemand(now, a.cfg.EntryHorizon)) >= a.cfg.EntryLeast*p.meanNeed
+	return !p.scarce && float64(p.expectedDemand(now, a.cfg.EntryHorizon)) >= a.cfg.EntryMinRequests*p.meanNeed
 }
 
 // entryTarget returns how many tokens an entry router should hold of the budget.
@@ -29,11 +29,11 @@
 	p.skippedOwners[id] = now
 	p.awaitingSuccessor = true
 	a.emit(Suspect{ID: id})
-	a.emit(AskAgain{Budget: p.id})
+	a.emit(RetryOwner{Budget: p.id})
 }
 
-// AskAgain continues with the current owner of a budget.
-func (a *Agent) AskAgain(now time.Time, id string) []Effect {
+// RetryOwner asks the current owner of a budget.
+func (a *Agent) RetryOwner(now time.Time, id string) []Effect {
 	p := a.accountBalance(id)
 	p.awaitingSuccessor = false
 	a.advance(now, p)
--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -21,9 +21,9 @@
 	Boot string `json:"boot"`
 	// At is the monotonic clock before the write was sent, in nanoseconds.
 	At int64 `json:"at"`
-	// OfDay is the wall clock at that moment, in Unix nanoseconds; 0: it was not recorded,
-	// and nothing proves the entry's age.
-	OfDay int64 `json:"of_day,omitempty"`
+	// WallClock is the wall clock at that moment, in Unix nanoseconds; 0: it was not
+	// recorded, and nothing proves the entry's age.
+	WallClock int64 `json:"of_day,omitempty"`
 	// Schedule determines how the parts are released.
 	Schedule Schedule `json:"schedule"`
 	// Parts are the withheld tokens by budget.
@@ -97,7 +97,7 @@
 }
 
 // keepsEscrow reports whether this router keeps escrows.
-func (a *Agent) keepsEscrow() bool { return a.cfg.OpenHorizon > 0 }
+func (a *Agent) keepsEscrow() bool { return a.cfg.UsableHorizon > 0 }
 
 // usable returns the tokens that may be spent or lent now.
 func (p *accountBalance) usable() int64 { return p.balance - p.escrow }
@@ -105,7 +105,7 @@
 // usableTarget returns how many tokens a write of the page leaves usable: the demand until
 // the page is likely written again.
 func (a *Agent) usableTarget(now time.Time, p *accountBalance) int64 {
-	target := p.expectedDemand(now, a.cfg.OpenHorizon)
+	target := p.expectedDemand(now, a.cfg.UsableHorizon)
 	return max(target, int64(a.cfg.HeldRequests*p.meanNeed)) + p.requested()
 }
 
@@ -125,11 +125,11 @@
 		}
 	}
 	value.Escrows[a.cfg.Self.Incarnation] = Escrow{
-		Boot:     a.cfg.Boot,
-		At:       int64(a.cfg.Uptime(now)),
-		OfDay:    a.cfg.TimeOfDay().UnixNano(),
-		Schedule: e.schedule,
-		Parts:    maps.Clone(e.parts),
+		Boot:      a.cfg.Boot,
+		At:        int64(a.cfg.Uptime(now)),
+		WallClock: a.cfg.WallClock().UnixNano(),
+		Schedule:  e.schedule,
+		Parts:     maps.Clone(e.parts),
 	}
 	return e
 }
@@ -151,7 +151,7 @@
 // exceedsUsableTarget reports whether far more is usable than a write would leave usable.
 func (a *Agent) exceedsUsableTarget(now time.Time, p *accountBalance, usable, target float64) bool {
 	ps := a.pages[p.page]
-	if ps == nil || ps.write != nil || now.Sub(ps.wroteAt) < a.cfg.ResealEvery {
+	if ps == nil || ps.write != nil || now.Sub(ps.wroteAt) < a.cfg.EscrowRewriteInterval {
 		return false
 	}
 	return usable > maxUsableRatio*target
@@ -175,12 +175,12 @@
 		}
 		ps.rewriteEscrow = true
 		if !age.proven(e) {
-			a.emit(GivenUp{Holder: holder, Steady: age.steady, OfDay: age.ofDay, Tokens: e.tokens()})
+			a.emit(EscrowWrittenOff{Holder: holder, Steady: age.steady, WallClock: age.wallClock, Tokens: e.tokens()})
 			ps.page.Close(holder)
 			continue
 		}
 		tokens := ps.page.release(holder, e, age.steady)
-		a.emit(TakenBack{Holder: holder, Age: age.steady, Tokens: tokens})
+		a.emit(EscrowReclaimed{Holder: holder, Age: age.steady, Tokens: tokens})
 	}
 }
 
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -12,10 +12,10 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// openHorizon and the release constants define the schedule by which the routers in the
+// usableHorizon and the release constants define the schedule by which the routers in the
 // tests release their escrow.
 const (
-	openHorizon   = 1500 * time.Millisecond
+	usableHorizon = 1500 * time.Millisecond
 	releaseSpeed  = 1.1
 	releaseSlow   = 4 * time.Second
 	releaseWithin = 10 * time.Second
@@ -34,8 +34,8 @@
 	cfg.Lenders = func(time.Time, string) []budget.Peer { return lenders }
 	cfg.HeldRequests, cfg.LowRequests = 1, 0.5
 	cfg.Surplus, cfg.RefillBelow = 0.25, 0.9
-	cfg.CheckEvery = time.Millisecond
-	cfg.OpenHorizon, cfg.ResealEvery = openHorizon, time.Second
+	cfg.LookupInterval = time.Millisecond
+	cfg.UsableHorizon, cfg.EscrowRewriteInterval = usableHorizon, time.Second
 	cfg.Release = budget.Schedule{Speed: releaseSpeed, Slow: releaseSlow, Within: releaseWithin}
 	cfg.Started = started
 	cfg.Predecessor = func(holder string) bool { return strings.HasPrefix(holder, id+"/") }
@@ -155,7 +155,7 @@
 		}
 	}
 	all["suspend"] = func(t *rapid.T) { n.suspend(t, n.routers[pick.Draw(t, "router")]) }
-	all["set time of day"] = func(t *rapid.T) { n.setTimeOfDay(t, n.routers[pick.Draw(t, "router")]) }
+	all["set time of day"] = func(t *rapid.T) { n.setWallClock(t, n.routers[pick.Draw(t, "router")]) }
 	all["step"] = func(t *rapid.T) {
 		n.now = n.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 	}
--- a/budget/hold.go
+++ b/budget/hold.go
@@ -19,10 +19,10 @@
 // estimate, so that the first requests need not wait for the store.
 func (a *Agent) initialBalance(p *accountBalance) int64 {
 	limit, known := a.limits[p.id]
-	if a.cfg.StarterShare == 0 || !known {
+	if a.cfg.InitialShare == 0 || !known {
 		return 0
 	}
-	return int64(a.cfg.StarterShare * float64(limit.Tokens) / float64(a.cfg.Routers()))
+	return int64(a.cfg.InitialShare * float64(limit.Tokens) / float64(a.cfg.Routers()))
 }
 
 // refillThreshold returns the balance below which an owner draws more.
--- a/budget/holding.go
+++ b/budget/holding.go
@@ -16,8 +16,8 @@
 	Sent, Received map[string]int64
 }
 
-// Seen is the data that a reservation decision is based on.
-type Seen struct {
+// DecisionInput is the data that a reservation decision is based on.
+type DecisionInput struct {
 	// Usable is the balance less the escrow; Reserved is held by running requests.
 	Usable, Reserved int64
 	// Free is what the store had left to issue and Limit the budget's limit, as read with
@@ -27,14 +27,14 @@
 	Age         time.Duration
 }
 
-// Seen returns the data that the next decision on a budget would be based on.
-func (a *Agent) Seen(now time.Time, id string) Seen {
+// DecisionInput returns the data that the next decision on a budget would be based on.
+func (a *Agent) DecisionInput(now time.Time, id string) DecisionInput {
 	p, ok := a.balances[id]
 	if !ok {
-		return Seen{}
+		return DecisionInput{}
 	}
 	a.refreshEscrow(now, p)
-	s := Seen{Usable: p.usable(), Reserved: p.reserved}
+	s := DecisionInput{Usable: p.usable(), Reserved: p.reserved}
 	ps := a.pages[p.page]
 	if ps == nil || ps.page == nil || ps.page.Budgets[id] == nil {
 		return s
--- a/budget/limits.go
+++ b/budget/limits.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		a.limits[id] = next
-		if a.cfg.StarterShare > 0 {
+		if a.cfg.InitialShare > 0 {
 			a.accountBalance(id).lastUse = now
 		}
 		if known && next.Tokens < old.Tokens {
--- a/budget/machine_test.go
+++ b/budget/machine_test.go
@@ -36,8 +36,8 @@
 	booted := m.booted
 	cfg.Boot = fmt.Sprintf("boot %d of r%d", m.bootIDs, r.index)
 	cfg.Uptime = func(now time.Time) time.Duration { return now.Sub(booted) }
-	cfg.TimeOfDay = func() time.Time { return n.now.Add(m.clockOffset) }
-	cfg.StartedOfDay = cfg.TimeOfDay()
+	cfg.WallClock = func() time.Time { return n.now.Add(m.clockOffset) }
+	cfg.StartedWallClock = cfg.WallClock()
 }
 
 // losePower ends a router's process and reboots its machine: the monotonic clock restarts;
@@ -67,8 +67,8 @@
 // maxOffset is how far the wall clock of a machine may be off.
 const maxOffset = 6 * time.Second
 
-// setTimeOfDay sets the wall clock of a machine.
-func (n *network) setTimeOfDay(t *rapid.T, r *router) {
+// setWallClock sets the wall clock of a machine.
+func (n *network) setWallClock(t *rapid.T, r *router) {
 	most := int(maxOffset / time.Millisecond)
 	r.machine.clockOffset = time.Duration(rapid.IntRange(-most, most).Draw(t, "ahead ms")) * time.Millisecond
 }
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -98,16 +98,17 @@
 // Suspect reports that an instance did not answer in time, or that it is not the owner.
 type Suspect struct{ ID string }
 
-// AskAgain requests a call of Agent.AskAgain after the preceding effects have been carried
-// out: only then is another router the owner.
-type AskAgain struct{ Budget string }
+// RetryOwner requests a call of Agent.RetryOwner after the preceding effects have been
+// carried out: only then is another router the owner.
+type RetryOwner struct{ Budget string }
 
-// Stop reports that this holder was fenced: its tokens are void, and the process must end.
-type Stop struct{}
+// HolderFenced reports that this holder was fenced: its tokens are void, and the process
+// must end.
+type HolderFenced struct{}
 
-// TakenBack reports that the tokens which an earlier process of this instance held in
+// EscrowReclaimed reports that the tokens which an earlier process of this instance held in
 // escrow count as free in the copy of a page; the next write makes that permanent.
-type TakenBack struct {
+type EscrowReclaimed struct {
 	// Holder is the earlier process.
 	Holder string
 	// Age is the time from its last write to the start of this process.
@@ -116,24 +117,24 @@
 	Tokens map[string]int64
 }
 
-// GivenUp reports that an earlier process of this instance held tokens in escrow that
-// cannot be proven unused: they count as spent from the next write on.
-type GivenUp struct {
+// EscrowWrittenOff reports that an earlier process of this instance held tokens in escrow
+// that cannot be proven unused: they count as spent from the next write on.
+type EscrowWrittenOff struct {
 	// Holder is the earlier process.
 	Holder string
-	// Steady and OfDay are the time from its last write to the start of this process, by
-	// the monotonic clock and by the wall clock.
-	Steady, OfDay time.Duration
+	// Steady and WallClock are the time from its last write to the start of this process,
+	// by the monotonic clock and by the wall clock.
+	Steady, WallClock time.Duration
 	// Tokens are the tokens in escrow at that write, by budget.
 	Tokens map[string]int64
 }
 
-func (Send) effect()      {}
-func (ReadPage) effect()  {}
-func (WritePage) effect() {}
-func (Resolve) effect()   {}
-func (Suspect) effect()   {}
-func (AskAgain) effect()  {}
-func (Stop) effect()      {}
-func (TakenBack) effect() {}
-func (GivenUp) effect()   {}
+func (Send) effect()             {}
+func (ReadPage) effect()         {}
+func (WritePage) effect()        {}
+func (Resolve) effect()          {}
+func (Suspect) effect()          {}
+func (RetryOwner) effect()       {}
+func (HolderFenced) effect()     {}
+func (EscrowReclaimed) effect()  {}
+func (EscrowWrittenOff) effect() {}
--- a/budget/page.go
+++ b/budget/page.go
@@ -168,8 +168,8 @@
 	p.fence(holders)
 }
 
-// Knows reports whether all these holders are already fenced in the page.
-func (p *Page) Knows(holders []string) bool {
+// AllFenced reports whether all these holders are already fenced in the page.
+func (p *Page) AllFenced(holders []string) bool {
 	for _, h := range holders {
 		if !p.Fenced[h] {
 			return false
@@ -190,8 +190,8 @@
 	return int(xxhash.Sum64String(id) % uint64(pages))
 }
 
-// Role returns the name by which the owner of a page's budgets is ranked.
-func Role(page int) string {
+// RankKey returns the name by which the owner of a page's budgets is ranked.
+func RankKey(page int) string {
 	return fmt.Sprintf("budgets/%d", page)
 }
 
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -17,8 +17,8 @@
 	Conflict
 	// Unavailable: the call had no effect.
 	Unavailable
-	// Lost: the answer was lost; a write may have taken effect, now or later.
-	Lost
+	// ResultUnknown: the answer was lost; a write may have taken effect, now or later.
+	ResultUnknown
 )
 
 // pageOp is one requested change of a page: a draw, or a return when need is negative.
@@ -205,9 +205,9 @@
 }
 
 // needsRead reports whether a queued draw needs a newer copy of the page: the held one is
-// older than CheckEvery and has too few tokens.
+// older than LookupInterval and has too few tokens.
 func (a *Agent) needsRead(now time.Time, ps *pageState) bool {
-	if ps.write != nil || now.Sub(ps.readAt) < a.cfg.CheckEvery {
+	if ps.write != nil || now.Sub(ps.readAt) < a.cfg.LookupInterval {
 		return false
 	}
 	for _, op := range ps.ops {
@@ -270,7 +270,7 @@
 	switch result {
 	case Done:
 		if page.Fenced[a.cfg.Self.Incarnation] {
-			a.emit(Stop{})
+			a.emit(HolderFenced{})
 			return a.takeEffects()
 		}
 		ps.page, ps.version, ps.have, ps.readAt = page, version, true, now
@@ -322,7 +322,7 @@
 func (a *Agent) PageWritten(now time.Time, n int, version int64, result StoreResult, current *Page) []Effect {
 	ps := a.pages[n]
 	ps.writing = false
-	ps.failed = result == Lost
+	ps.failed = result == ResultUnknown
 	switch result {
 	case Done:
 		ps.conflicts, ps.pause = 0, 0
@@ -340,7 +340,7 @@
 		if current != nil {
 			return a.PageRead(now, n, version, current, Done)
 		}
-	case Lost:
+	case ResultUnknown:
 		ps.have = false
 		ps.write.lost = true
 	default:
--- a/budget/search.go
+++ b/budget/search.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if a.isOwner(now, p.id) {
-		if (p.balance < a.refillThreshold(now, p) || a.needsEscrowRewrite(now, p)) && now.Sub(p.lookedAt) >= a.cfg.CheckEvery {
+		if (p.balance < a.refillThreshold(now, p) || a.needsEscrowRewrite(now, p)) && now.Sub(p.lookedAt) >= a.cfg.LookupInterval {
 			a.drawFromStore(now, p, 0)
 		}
 		return
@@ -105,7 +105,7 @@
 	if p.escrow > 0 && p.balance > 0 {
 		return true
 	}
-	return p.drawable() > 0 && now.Sub(p.shortAt) >= a.cfg.CheckEvery
+	return p.drawable() > 0 && now.Sub(p.shortAt) >= a.cfg.LookupInterval
 }
 
 // startRecall asks the holders for unused tokens; it returns false if there is no holder
--- a/budget/shared_owner_test.go
+++ b/budget/shared_owner_test.go
@@ -19,8 +19,8 @@
 	}
 	cfg.Routers = func() int { return 1 }
 	cfg.EntryHorizon = 3 * time.Second
-	cfg.EntryLeast = 4
-	cfg.StarterShare = 0.05
+	cfg.EntryMinRequests = 4
+	cfg.InitialShare = 0.05
 	cfg.FinalReserveShare, cfg.FinalReserveTime = 0.02, 15*time.Second
 }
 
--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -62,18 +62,18 @@
 // ownerByPage makes one router the owner of all budgets of a page, so that one
 // write renews all of them.
 func ownerByPage(pages int, m Members) func(time.Time, string) string {
-	roles := make([]string, pages)
-	for n := range roles {
-		roles[n] = budget.Role(n)
+	rankKeys := make([]string, pages)
+	for n := range rankKeys {
+		rankKeys[n] = budget.RankKey(n)
 	}
 	return func(_ time.Time, id string) string { // the membership view uses another clock than the budgets
-		return m.First(clock.Now(), roles[budget.PageOf(id, pages)])
+		return m.First(clock.Now(), rankKeys[budget.PageOf(id, pages)])
 	}
 }
 
 // escrowTime returns the time by which held budgets age. Other ages include the time for which
 // the machine was suspended. The age of an escrow must not include it: escrows are released, and
-// taken back by the next process, by the machine's monotonic clock, which restarts after a power
+// reclaimed by the next process, by the machine's monotonic clock, which restarts after a power
 // loss and advances only while tokens can be used.
 func escrowTime() time.Time { return time.Now() }
 
@@ -186,15 +186,15 @@
 		go c.write(e)
 	case budget.Suspect:
 		c.members.Failed(e.ID, errNoGrant)
-	case budget.AskAgain:
-		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.AskAgain(now, e.Budget) })
-	case budget.TakenBack:
+	case budget.RetryOwner:
+		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.RetryOwner(now, e.Budget) })
+	case budget.EscrowReclaimed:
 		c.log.Info("tokens of an earlier process taken back", zap.String("holder", e.Holder),
 			zap.Duration("age_ms", e.Age), zap.Any("tokens", e.Tokens))
-	case budget.GivenUp:
+	case budget.EscrowWrittenOff:
 		c.log.Warn("tokens of an earlier process written off: its clock may have restarted", zap.String("holder", e.Holder),
-			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.OfDay), zap.Any("tokens", e.Tokens))
-	case budget.Stop:
+			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.WallClock), zap.Any("tokens", e.Tokens))
+	case budget.HolderFenced:
 		c.onStop()
 	}
 }
@@ -219,11 +219,11 @@
 	return held
 }
 
-// Seen returns the current data on which a decision about a budget is based.
-func (c *Controller) Seen(id string) budget.Seen {
+// DecisionInput returns the current data on which a decision about a budget is based.
+func (c *Controller) DecisionInput(id string) budget.DecisionInput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.agent.Seen(escrowTime(), id)
+	return c.agent.DecisionInput(escrowTime(), id)
 }
 
 // Fence rejects all further messages of an incarnation.
--- a/controller/budgets/close.go
+++ b/controller/budgets/close.go
@@ -49,7 +49,7 @@
 // record of it remains.
 func (c *Controller) closeInPages(ctx context.Context) {
 	c.mu.Lock()
-	holder, pages := c.agent.Touched()
+	holder, pages := c.agent.UsedPages()
 	c.mu.Unlock()
 	for _, n := range pages {
 		if err := CloseHolder(ctx, c.store, n, holder); err != nil {
--- a/controller/budgets/page.go
+++ b/controller/budgets/page.go
@@ -91,6 +91,6 @@
 	case errors.Is(err, store.ErrUnavailable):
 		return budget.Unavailable
 	default:
-		return budget.Lost
+		return budget.ResultUnknown
 	}
 }
--- a/controller/reclaims/pages.go
+++ b/controller/reclaims/pages.go
@@ -175,7 +175,7 @@
 			sum += tokens
 		}
 	}
-	if sum == 0 && at.page.Knows(snap.dead) {
+	if sum == 0 && at.page.AllFenced(snap.dead) {
 		return true, nil
 	}
 	if len(snap.dead) == 1 {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -254,14 +254,14 @@
 
 // budgetFields returns the budget state behind a refused reservation as log fields.
 func (c *call) budgetFields() []zap.Field {
-	seen := c.g.Budgets.Seen(c.account.Name)
+	input := c.g.Budgets.DecisionInput(c.account.Name)
 	return []zap.Field{
 		zap.Int64("wanted", c.Worst()),
-		zap.Int64("usable", seen.Usable),
-		zap.Int64("in_use", seen.Reserved),
-		zap.Int64("store_free", seen.Free),
-		zap.Int64("limit", seen.Limit),
-		zap.Int64("page_version", seen.Version),
-		zap.Duration("page_age_ms", seen.Age),
+		zap.Int64("usable", input.Usable),
+		zap.Int64("in_use", input.Reserved),
+		zap.Int64("store_free", input.Free),
+		zap.Int64("limit", input.Limit),
+		zap.Int64("page_version", input.Version),
+		zap.Duration("page_age_ms", input.Age),
 	}
 }
--- a/lab/policy/agents.go
+++ b/lab/policy/agents.go
@@ -79,7 +79,7 @@
 	cfg := a.cfg
 	cfg.Self = budget.Peer{ID: self.ID, Incarnation: n.name()}
 	cfg.Owner = func(now time.Time, id string) string {
-		return n.view.First(now, budget.Role(budget.PageOf(id, a.cfg.Pages)))
+		return n.view.First(now, budget.RankKey(budget.PageOf(id, a.cfg.Pages)))
 	}
 	n.agent = budget.NewAgent(cfg)
 	n.waiting = map[uint64]func(bool){}
@@ -134,8 +134,8 @@
 			a.write(n, e)
 		case budget.Suspect:
 			a.reportUnreachable(n, e.ID)
-		case budget.AskAgain:
-			a.execute(n, n.agent.AskAgain(a.w.Now, e.Budget))
+		case budget.RetryOwner:
+			a.execute(n, n.agent.RetryOwner(a.w.Now, e.Budget))
 		}
 	}
 }
--- a/server/escrow.go
+++ b/server/escrow.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// openHorizon is the time of demand for which tokens stay usable after a budget write:
+	// usableHorizon is the time of demand for which tokens stay usable after a budget write:
 	// the time until the next write that releases more, plus a margin for bursts.
-	openHorizon = time.Second
+	usableHorizon = time.Second
 	// releaseSpeed is the initial release rate of escrowed tokens, as a multiple of the
 	// demand: it covers the demand, and little more is lost if the router fails.
 	releaseSpeed = 1.5
@@ -25,9 +25,9 @@
 	// that a router can lend tokens that it does not need in an outage.
 	slowReleasePeriod = 4 * time.Second
 	fullReleaseAfter  = 9 * time.Second
-	// resealInterval is the minimum time between two writes that return released but
+	// escrowRewriteInterval is the minimum time between two writes that return released but
 	// unused tokens to the escrow.
-	resealInterval = 1 * time.Second
+	escrowRewriteInterval = 1 * time.Second
 	// bootIDFile contains the boot ID of the machine.
 	bootIDFile = "/proc/sys/kernel/random/boot_id"
 )
@@ -55,13 +55,13 @@
 	}
 	s.boot = strings.TrimSpace(string(boot))
 	atStart := time.Duration(up.Nano())
-	cfg.OpenHorizon = openHorizon
+	cfg.UsableHorizon = usableHorizon
 	cfg.Release = budget.Schedule{Speed: releaseSpeed, Slow: slowReleasePeriod, Within: fullReleaseAfter}
-	cfg.ResealEvery = resealInterval
+	cfg.EscrowRewriteInterval = escrowRewriteInterval
 	cfg.Boot = s.boot
 	cfg.Started = started
-	cfg.StartedOfDay = started
-	cfg.TimeOfDay = time.Now
+	cfg.StartedWallClock = started
+	cfg.WallClock = time.Now
 	cfg.Uptime = func(now time.Time) time.Duration { return atStart + now.Sub(started) }
 	cfg.Predecessor = func(holder string) bool { return strings.HasPrefix(holder, s.settings.Instance.ID+"/") }
 }
