--- a/controller/ledgers/ledgers.go
+++ b/controller/ledgers/ledgers.go
@@ -198,7 +198,7 @@
 	case errors.Is(err, store.ErrUnavailable):
 		return ledger.Unavailable
 	default:
-		return ledger.Lost
+		return ledger.ResultUnknown
 	}
 }
 
@@ -212,7 +212,7 @@
 	c.mu.Lock()
 	if op.Kind == ledger.Claim && c.fenced[op.Holder] {
 		c.mu.Unlock()
-		return ledger.Outcome{Verdict: ledger.Fenced}, nil
+		return ledger.Outcome{Decision: ledger.Fenced}, nil
 	}
 	c.token++
 	token := c.token
--- a/controller/ledgers/submit.go
+++ b/controller/ledgers/submit.go
@@ -48,7 +48,7 @@
 }
 
 func (c *Controller) owners(n int) []string {
-	ranked := c.members.Rank(clock.Now(), ledger.Role(n))
+	ranked := c.members.Rank(clock.Now(), ledger.OwnerRole(n))
 	if len(ranked) == 0 {
 		return []string{c.members.Self().ID}
 	}
@@ -67,7 +67,7 @@
 	if err == nil && owner == c.members.Self().ID && !op.Durable {
 		return c.claimAtOtherOwner(ctx, op)
 	}
-	if err == nil && outcome.Verdict == ledger.StoreDown && !op.NotRepeatable {
+	if err == nil && outcome.Decision == ledger.StoreDown && !op.NotRepeatable {
 		return c.claimAtOtherOwner(ctx, op)
 	}
 	return outcome, err
@@ -106,7 +106,7 @@
 		c.log.Warn("bill not recorded; it will be resubmitted", zap.String("request", op.Request), zap.Error(err))
 		return
 	}
-	if outcome.Verdict == ledger.Recorded {
+	if outcome.Decision == ledger.Recorded {
 		c.mu.Lock()
 		delete(c.bills, key)
 		c.mu.Unlock()
@@ -151,7 +151,7 @@
 		if err != nil {
 			return err
 		}
-		if outcome.Verdict != ledger.Recorded {
+		if outcome.Decision != ledger.Recorded {
 			return errNoOwner
 		}
 	}
@@ -186,7 +186,7 @@
 	op := ledger.Op{Kind: ledger.Fence, Holder: incarnation}
 	for _, id := range c.owners(n) {
 		outcome, err := c.submitTo(ctx, id, n, op)
-		if err == nil && outcome.Verdict == ledger.Recorded {
+		if err == nil && outcome.Decision == ledger.Recorded {
 			return outcome, nil
 		}
 	}
@@ -197,7 +197,7 @@
 // an error if the bill is not committed.
 func (c *Controller) CommitBill(ctx context.Context, op ledger.Op) error {
 	outcome, _, err := c.submit(ctx, op)
-	if err == nil && outcome.Verdict != ledger.Recorded {
+	if err == nil && outcome.Decision != ledger.Recorded {
 		err = errNoOwner
 	}
 	return err
@@ -227,7 +227,7 @@
 	c.mu.Unlock()
 	for key, op := range bills {
 		outcome, _, err := c.submit(context.Background(), op)
-		if err != nil || outcome.Verdict != ledger.Recorded {
+		if err != nil || outcome.Decision != ledger.Recorded {
 			return
 		}
 		c.mu.Lock()
--- a/controller/reclaims/unbilled.go
+++ b/controller/reclaims/unbilled.go
@@ -43,7 +43,7 @@
 	if found == 0 {
 		return
 	}
-	tries := l.Worst / l.MaxPerTry
+	tries := l.MaxTokens / l.MaxPerTry
 	served += (tries - found) * l.MaxPerTry
 	op := ledger.Op{
 		Kind:    ledger.Bill,
@@ -53,7 +53,7 @@
 		Account: l.Account,
 		Budget:  l.Budget,
 		Attempt: l.Attempt,
-		Tokens:  min(served, l.Worst),
+		Tokens:  min(served, l.MaxTokens),
 		Code:    int(result.BackendCut),
 	}
 	if err := c.ledgers.CommitBill(ctx, op); err != nil {
@@ -65,7 +65,7 @@
 // returns the sum of the tokens served. found is the number of tries that an engine
 // knew.
 func (c *Controller) cancelTries(ctx context.Context, l ledger.UnbilledAttempt) (tokens, found int64) {
-	for try := int64(1); try <= l.Worst/l.MaxPerTry; try++ {
+	for try := int64(1); try <= l.MaxTokens/l.MaxPerTry; try++ {
 		id := l.Claim + "." + strconv.FormatInt(try, 10)
 		if n, ok := c.cancelTry(ctx, l.Target, id); ok {
 			tokens += n
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -31,8 +31,8 @@
 	Prefix []Part
 }
 
-// Worst returns the maximum number of tokens that the request can cost.
-func (r *Request) Worst() int64 { return r.TokensIn + r.MaxTokensOut }
+// MaxTokens returns the maximum number of tokens that the request can cost.
+func (r *Request) MaxTokens() int64 { return r.TokensIn + r.MaxTokensOut }
 
 // Dispatch holds what a request to a backend server carries beyond the caller's own headers.
 type Dispatch struct {
--- a/filter/deduplicate/deduplicate.go
+++ b/filter/deduplicate/deduplicate.go
@@ -88,7 +88,7 @@
 		Digest:        x.Digest,
 		NotRepeatable: x.NotRepeatable,
 		Durable:       x.NotRepeatable,
-		Worst:         x.MaxTokens,
+		MaxTokens:     x.MaxTokens,
 	}
 }
 
@@ -96,11 +96,11 @@
 // serves it, claim supersedes that claim. done means that the response was already sent.
 func (h *handler) claim(ctx context.Context, x *filter.Exchange, op ledger.Op) (done bool, err error) {
 	outcome, err := h.ledger.Claim(ctx, op)
-	if err == nil && outcome.Verdict == ledger.Busy {
+	if err == nil && outcome.Decision == ledger.Busy {
 		if h.ledger.Running(ctx, outcome, x.LedgerRequest) {
 			return false, result.New(result.AlreadyRunning, "an attempt with this key is running").After(runningRetryAfter)
 		}
-		op.Supersede = outcome.Holder
+		op.SupersededHolder = outcome.Holder
 		outcome, err = h.ledger.Claim(ctx, op)
 	}
 	if err != nil {
@@ -111,11 +111,11 @@
 
 // raiseClaim raises the claim's maximum number of tokens before another attempt.
 func (h *handler) raiseClaim(ctx context.Context, op *ledger.Op, tokens int64) error {
-	op.Worst += tokens
+	op.MaxTokens += tokens
 	raised := *op
 	raised.Attempt = 0
 	outcome, err := h.ledger.Claim(ctx, raised)
-	if err == nil && outcome.Verdict == ledger.Run {
+	if err == nil && outcome.Decision == ledger.Run {
 		return nil
 	}
 	return result.New(result.LedgerUnreachable, "another try could not be claimed").Wrap(err).After(unavailableRetryAfter)
@@ -130,7 +130,7 @@
 }
 
 func (h *handler) applyOutcome(x *filter.Exchange, outcome ledger.Outcome) (done bool, err error) {
-	switch outcome.Verdict {
+	switch outcome.Decision {
 	case ledger.Run:
 		x.Attempt = outcome.Attempt
 		return false, nil
@@ -143,7 +143,7 @@
 	case ledger.Fenced:
 		h.ledger.Stop()
 		return false, result.New(result.Leaving, "this router was taken to be dead and is stopping").After(runningRetryAfter)
-	case ledger.Unresolved:
+	case ledger.OutcomeUnknown:
 		return false, result.New(result.OutcomeUnknown, "the request was dispatched by a router that is gone; its outcome is unknown")
 	default:
 		return false, result.New(result.StoreUnavailable, "the request cannot be claimed while the store is down").After(unavailableRetryAfter)
--- a/gateway/charge_test.go
+++ b/gateway/charge_test.go
@@ -31,9 +31,9 @@
 		c := &call{mayHaveRun: k.ran, unobserved: k.unseen, outcome: k.end}
 		c.Request = exchange.Request{TokensIn: 800, MaxTokensOut: 200}
 		c.stream.tokens = k.seen
-		c.reserved = c.Worst() + int64(max(k.unseen-1, 0))*c.MaxTokensOut
+		c.reserved = c.MaxTokens() + int64(max(k.unseen-1, 0))*c.MaxTokensOut
 		if k.unseen > 0 && k.end == result.OK {
-			c.reserved = c.Worst() + int64(k.unseen)*c.MaxTokensOut
+			c.reserved = c.MaxTokens() + int64(k.unseen)*c.MaxTokensOut
 		}
 		if got := c.spent(); got != k.want {
 			t.Errorf("%s: %d tokens charged, the servers may have generated %d", k.name, got, k.want)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -256,7 +256,7 @@
 func (c *call) budgetFields() []zap.Field {
 	input := c.g.Budgets.DecisionInput(c.account.Name)
 	return []zap.Field{
-		zap.Int64("wanted", c.Worst()),
+		zap.Int64("wanted", c.MaxTokens()),
 		zap.Int64("usable", input.Usable),
 		zap.Int64("in_use", input.Reserved),
 		zap.Int64("store_free", input.Free),
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -176,16 +176,16 @@
 
 // reserve reserves the maximum cost of the request from its account's budget.
 func (g *Gateway) reserve(c *call) *result.Error {
-	if c.account == nil || !c.account.Metered || c.Worst() == 0 {
+	if c.account == nil || !c.account.Metered || c.MaxTokens() == 0 {
 		return nil
 	}
 	wait := max(c.route.Objective/reserveWaitDivisor, minReserveWait)
 	ctx, cancel := context.WithTimeout(c.r.Context(), wait)
 	defer cancel()
-	if err := g.Budgets.Reserve(ctx, c.account.Name, c.Worst()); err != nil {
+	if err := g.Budgets.Reserve(ctx, c.account.Name, c.MaxTokens()); err != nil {
 		return result.From(err)
 	}
-	c.reserved = c.Worst()
+	c.reserved = c.MaxTokens()
 	return nil
 }
 
--- a/lab/policy.go
+++ b/lab/policy.go
@@ -79,12 +79,12 @@
 func ledgerLoads() []policy.LedgerLoad {
 	today := policy.LedgerLoad{
 		Name: "ledger, 8 routers", Seed: 1, PerSecond: 166, NotRepeatable: 0.2, Shards: 2,
-		Spacing: 20 * time.Millisecond, Linger: 80 * time.Millisecond,
+		MinCommitInterval: 20 * time.Millisecond, MaxCommitDelay: 80 * time.Millisecond,
 		RoundTrip: 2 * time.Millisecond, StoreDelay: 5 * time.Millisecond, Length: time.Minute,
 	}
 	target := today
 	target.Name, target.PerSecond, target.Shards = "ledger, 390 routers", 8100, 40
-	target.Spacing, target.Linger, target.RoundTrip = 350*time.Millisecond, 350*time.Millisecond, 10*time.Millisecond
+	target.MinCommitInterval, target.MaxCommitDelay, target.RoundTrip = 350*time.Millisecond, 350*time.Millisecond, 10*time.Millisecond
 	return []policy.LedgerLoad{today, target}
 }
 
--- a/lab/policy/ledgerload.go
+++ b/lab/policy/ledgerload.go
@@ -16,8 +16,8 @@
 	// not-repeatable requests.
 	PerSecond, NotRepeatable float64
 	Shards                   int
-	// Spacing and Linger configure the shards, see ledger.Config.
-	Spacing, Linger time.Duration
+	// MinCommitInterval and MaxCommitDelay configure the shards, see ledger.Config.
+	MinCommitInterval, MaxCommitDelay time.Duration
 	// RoundTrip is the round-trip time to the owner of a shard, StoreDelay the latency
 	// of a store call.
 	RoundTrip, StoreDelay time.Duration
@@ -59,7 +59,7 @@
 func RunLedger(load LedgerLoad) LedgerResult {
 	cfg := ledger.DefaultConfig()
 	cfg.Owner = "owner"
-	cfg.Spacing, cfg.Linger = load.Spacing, load.Linger
+	cfg.MinCommitInterval, cfg.MaxCommitDelay = load.MinCommitInterval, load.MaxCommitDelay
 	s := &ledgerSim{Sim: vtime.New(load.Seed, stream), load: load, shard: ledger.NewShard(cfg), replies: map[uint64]func(){}}
 	begin := s.Now
 	mean := time.Duration(float64(time.Second) * float64(load.Shards) / load.PerSecond)
@@ -82,7 +82,7 @@
 	op := ledger.Op{
 		Kind: ledger.Claim, Request: fmt.Sprintf("k/account/%08d", n), Claim: fmt.Sprintf("7b0c11f2-4a1e-4c55-9b1c-%012d", n),
 		Holder: "r017/7b0c11f2-4a1e-4c55-9b1c-000000000000", Instance: "r017", Account: "account", Budget: "budget", Target: "model",
-		NotRepeatable: once, Durable: once, Worst: 400,
+		NotRepeatable: once, Durable: once, MaxTokens: 400,
 	}
 	waits := &s.repeatable
 	if once {
--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -122,7 +122,7 @@
 		request := fmt.Sprintf("k/account-%d/3f0e7c1a-%08d", i%230, i)
 		s.Submit(now, ledger.Op{
 			Kind: ledger.Claim, Request: request, Claim: fmt.Sprintf("7b0c11f2-4a1e-4c55-9b1c-%012d", i),
-			Holder: "r0/7b0c11f2-4a1e-4c55-9b1c-000000000000", Instance: "r0", Account: "account", Budget: "budget", Target: "model", Worst: 400,
+			Holder: "r0/7b0c11f2-4a1e-4c55-9b1c-000000000000", Instance: "r0", Account: "account", Budget: "budget", Target: "model", MaxTokens: 400,
 		}, uint64(i+1))
 	}
 	return s
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -60,11 +60,11 @@
 	NotRepeatable bool `msgpack:"n,omitempty"`
 	// Attempt is the number of the attempt.
 	Attempt int `msgpack:"t,omitempty"`
-	// Worst is the maximum cost, in tokens, of all tries of the attempt so
+	// MaxTokens is the maximum cost, in tokens, of all tries of the attempt so
 	// far. Repeating a claim with a higher value allows another try.
-	Worst int64 `msgpack:"x,omitempty"`
-	// Supersede names a holder that no longer runs the request.
-	Supersede string `msgpack:"s,omitempty"`
+	MaxTokens int64 `msgpack:"x,omitempty"`
+	// SupersededHolder names a holder that no longer runs the request.
+	SupersededHolder string `msgpack:"s,omitempty"`
 	// Durable requires that the claim is committed before it is answered.
 	Durable bool `msgpack:"-"`
 	// Tokens is the number of tokens served, and Code the result.
@@ -76,35 +76,35 @@
 	AnswerType string `msgpack:"wt,omitempty"`
 }
 
-// Verdict is the decision on an op.
-type Verdict string
+// Decision is how an op was decided.
+type Decision string
 
-// The verdicts.
+// The decisions.
 const (
 	// Run: the attempt may be dispatched.
-	Run Verdict = "run"
+	Run Decision = "run"
 	// Busy: another connection runs the request; see Outcome.Holder.
-	Busy Verdict = "busy"
+	Busy Decision = "busy"
 	// Finished: the not-repeatable request has completed.
-	Finished Verdict = "finished"
-	// Unresolved: the not-repeatable request was dispatched by a router that
+	Finished Decision = "finished"
+	// OutcomeUnknown: the not-repeatable request was dispatched by a router that
 	// is gone, so its outcome is unknown.
-	Unresolved Verdict = "unresolved"
+	OutcomeUnknown Decision = "unresolved"
 	// Mismatch: the idempotency key was used with a different body.
-	Mismatch Verdict = "mismatch"
+	Mismatch Decision = "mismatch"
 	// StoreDown: the store did not accept the claim or fence; a claim is withdrawn.
-	StoreDown Verdict = "down"
+	StoreDown Decision = "down"
 	// Recorded: the bill or withdrawal is committed.
-	Recorded Verdict = "recorded"
+	Recorded Decision = "recorded"
 	// Buffered: the bill is buffered in memory until the store is available again.
-	Buffered Verdict = "held"
+	Buffered Decision = "held"
 	// Fenced: the holder is presumed dead and must stop.
-	Fenced Verdict = "fenced"
+	Fenced Decision = "fenced"
 )
 
 // Outcome is the answer to an op.
 type Outcome struct {
-	Verdict Verdict
+	Decision Decision
 	// Attempt is the number of the attempt to run.
 	Attempt int
 	// Holder and Instance identify the router that runs a busy request, and
@@ -126,23 +126,23 @@
 	Request, Claim          string
 	Account, Budget, Target string
 	Attempt                 int
-	// MaxPerTry is the maximum cost of one try in tokens, and Worst that of all
+	// MaxPerTry is the maximum cost of one try in tokens, and MaxTokens that of all
 	// claimed tries.
-	MaxPerTry, Worst int64
+	MaxPerTry, MaxTokens int64
 }
 
 // Record is the state of one request in a shard.
 type Record struct {
-	Account, Budget  string
-	Target           string
-	Claim            string
-	Holder, Instance string
-	Digest           uint64
-	NotRepeatable    bool
-	Attempt          int
-	MaxPerTry, Worst int64
-	Running          bool
-	Billed           bool
+	Account, Budget      string
+	Target               string
+	Claim                string
+	Holder, Instance     string
+	Digest               uint64
+	NotRepeatable        bool
+	Attempt              int
+	MaxPerTry, MaxTokens int64
+	Running              bool
+	Billed               bool
 	// OutcomeUnknown is set when the holder of a not-repeatable request was fenced while
 	// the request was running, so that its outcome is unknown.
 	OutcomeUnknown bool
@@ -219,8 +219,8 @@
 	return int(xxhash.Sum64String(request) % uint64(shards))
 }
 
-// Role returns the role name by which routers are ranked as owners of a shard.
-func Role(shard int) string {
+// OwnerRole returns the role name by which routers are ranked as owners of a shard.
+func OwnerRole(shard int) string {
 	return fmt.Sprintf("ledger/%d", shard)
 }
 
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -71,7 +71,7 @@
 	token     uint64
 	submitted map[uint64]ledger.Op
 	replies   map[uint64]ledger.Outcome
-	runs      map[string]int // number of Run verdicts per not-repeatable request
+	runs      map[string]int // number of Run decisions per not-repeatable request
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -112,13 +112,13 @@
 	}
 	w.replies[r.Token] = r.Outcome
 	op := w.submitted[r.Token]
-	if op.NotRepeatable && op.Kind == ledger.Claim && r.Outcome.Verdict == ledger.Run {
+	if op.NotRepeatable && op.Kind == ledger.Claim && r.Outcome.Decision == ledger.Run {
 		w.runs[op.Request]++
 		if w.runs[op.Request] > 1 {
 			w.t.Fatalf("not-repeatable request %s may run twice", op.Request)
 		}
 	}
-	if op.Kind == ledger.Bill && r.Outcome.Verdict == ledger.Recorded && !w.billLogged(op) {
+	if op.Kind == ledger.Bill && r.Outcome.Decision == ledger.Recorded && !w.billLogged(op) {
 		w.t.Fatalf("bill %+v was answered Recorded but is not in the log", op)
 	}
 }
@@ -164,10 +164,10 @@
 		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.Unavailable))
 	case "late":
 		w.delayed = append(w.delayed, a)
-		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.Lost))
+		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.ResultUnknown))
 	case "lost":
 		w.log.put(a)
-		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.Lost))
+		w.handle(wr, wr.shard.Appended(w.now, 0, ledger.ResultUnknown))
 	default:
 		version, ok := w.log.put(a)
 		result := ledger.Done
@@ -231,7 +231,7 @@
 				once := r == "k/a/3"
 				w.submit(w.writers[wr.Draw(t, "writer")], ledger.Op{
 					Kind: ledger.Claim, Request: r, Claim: fmt.Sprint("c", w.token),
-					Holder: holder.Draw(t, "holder"), Supersede: superseded.Draw(t, "supersede"),
+					Holder: holder.Draw(t, "holder"), SupersededHolder: superseded.Draw(t, "supersede"),
 					NotRepeatable: once, Durable: once,
 				})
 			},
@@ -272,7 +272,7 @@
 // through another router.
 func TestClaimAfterItsBill(t *testing.T) {
 	now := time.Unix(1000, 0)
-	claim := ledger.Op{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "h", Budget: "b", Attempt: 1, Worst: 40}
+	claim := ledger.Op{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "h", Budget: "b", Attempt: 1, MaxTokens: 40}
 	bill := ledger.Op{Kind: ledger.Bill, Request: "k/a/1", Claim: "c1", Holder: "h", Budget: "b", Attempt: 1, Tokens: 7}
 	fence := ledger.Op{Kind: ledger.Fence, Holder: "h"}
 	for name, order := range map[string][]ledger.Op{
--- a/ledger/segment_test.go
+++ b/ledger/segment_test.go
@@ -13,7 +13,7 @@
 // segment. Requests in the lost part of a log would be claimed and billed again.
 func TestDecodeSegmentAcceptsExactlyOneSegment(t *testing.T) {
 	segment := ledger.Segment{Number: 3, Sealed: true, Batches: []ledger.Batch{
-		{ID: "b1", Ops: []ledger.Op{{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "r/1", Worst: 40}}},
+		{ID: "b1", Ops: []ledger.Op{{Kind: ledger.Claim, Request: "k/a/1", Claim: "c1", Holder: "r/1", MaxTokens: 40}}},
 		{ID: "b2", Ops: []ledger.Op{{Kind: ledger.Bill, Request: "k/a/1", Claim: "c1", Tokens: 12, Answer: []byte("x")}}},
 	}}
 	whole := segment.Encode()
@@ -70,7 +70,7 @@
 			case ledger.Append:
 				appended = true
 			case ledger.Reply:
-				busy = e.Outcome.Verdict == ledger.Busy
+				busy = e.Outcome.Decision == ledger.Busy
 			}
 		}
 		if appended || busy != c.ok {
--- a/ledger/shard.go
+++ b/ledger/shard.go
@@ -40,8 +40,8 @@
 	Conflict
 	// Unavailable: the call certainly had no effect.
 	Unavailable
-	// Lost: the answer was lost; the write may have taken effect.
-	Lost
+	// ResultUnknown: the answer was lost; the write may have taken effect.
+	ResultUnknown
 )
 
 // Config holds the settings of a shard.
@@ -50,12 +50,12 @@
 	Shard int
 	// Owner is the incarnation of this router.
 	Owner string
-	// Spacing is the minimum time between two commits.
-	Spacing time.Duration
-	// Linger is the minimum time between two commits when only bills are
+	// MinCommitInterval is the minimum time between two commits.
+	MinCommitInterval time.Duration
+	// MaxCommitDelay is the minimum time between two commits when only bills are
 	// waiting, and the maximum time for which an op that has already been
 	// answered stays in memory before it is committed.
-	Linger time.Duration
+	MaxCommitDelay time.Duration
 	// SegmentBytes is the estimated size in bytes at which a segment is sealed.
 	SegmentBytes int
 	// BatchOps is the maximum number of ops in one commit.
@@ -70,12 +70,12 @@
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		Spacing:      20 * time.Millisecond,
-		Linger:       80 * time.Millisecond,
-		SegmentBytes: 48 << 10,
-		BatchOps:     2000,
-		Retention:    time.Hour,
-		StoreRetry:   200 * time.Millisecond,
+		MinCommitInterval: 20 * time.Millisecond,
+		MaxCommitDelay:    80 * time.Millisecond,
+		SegmentBytes:      48 << 10,
+		BatchOps:          2000,
+		Retention:         time.Hour,
+		StoreRetry:        200 * time.Millisecond,
 	}
 }
 
@@ -196,14 +196,14 @@
 	if s.inFlight != nil || s.phase == loading || len(s.pending) == 0 {
 		return time.Time{}
 	}
-	due := s.pending[0].queuedAt.Add(s.cfg.Linger)
+	due := s.pending[0].queuedAt.Add(s.cfg.MaxCommitDelay)
 	switch s.mostUrgent() {
 	case Claim, Fence:
-		due = s.lastCommit.Add(s.cfg.Spacing)
+		due = s.lastCommit.Add(s.cfg.MinCommitInterval)
 	case Bill:
-		due = s.lastCommit.Add(s.cfg.Linger)
+		due = s.lastCommit.Add(s.cfg.MaxCommitDelay)
 	}
-	return latest(due, s.pending[0].queuedAt, s.lastCommit.Add(s.cfg.Spacing), s.retryAt)
+	return latest(due, s.pending[0].queuedAt, s.lastCommit.Add(s.cfg.MinCommitInterval), s.retryAt)
 }
 
 func latest(times ...time.Time) time.Time {
@@ -331,7 +331,7 @@
 	case Unavailable:
 		s.rollBack(now)
 	default:
-		// Conflict: another router commits to this shard. Lost: the batch may
+		// Conflict: another router commits to this shard. ResultUnknown: the batch may
 		// be in the log. Reading the log resolves both.
 		s.phase = loading
 		s.emit(Load{Shard: s.cfg.Shard})
@@ -387,11 +387,11 @@
 	}
 	e.waiting = false
 	if e.op.Kind == Fence {
-		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: StoreDown}})
+		s.emit(Reply{Token: e.token, Outcome: Outcome{Decision: StoreDown}})
 		return false
 	}
 	if e.op.Kind != Claim {
-		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Buffered}})
+		s.emit(Reply{Token: e.token, Outcome: Outcome{Decision: Buffered}})
 		if !e.applied {
 			_, e.applied = s.state.apply(now, e.op)
 		}
@@ -400,7 +400,7 @@
 	if e.op.Kind == Claim && !e.op.Durable {
 		return s.claimFromMemory(now, e)
 	}
-	s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: StoreDown}})
+	s.emit(Reply{Token: e.token, Outcome: Outcome{Decision: StoreDown}})
 	s.state.withdraw(Op{Request: e.op.Request, Claim: e.op.Claim})
 	return false
 }
@@ -462,10 +462,10 @@
 		}
 		e.waiting = false
 		if e.op.Kind == Bill {
-			s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: Buffered}})
+			s.emit(Reply{Token: e.token, Outcome: Outcome{Decision: Buffered}})
 			continue
 		}
-		s.emit(Reply{Token: e.token, Outcome: Outcome{Verdict: StoreDown}})
+		s.emit(Reply{Token: e.token, Outcome: Outcome{Decision: StoreDown}})
 		e.withdrawn = true
 		if e.op.Kind == Fence {
 			continue
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -54,7 +54,7 @@
 		return s.applyAccepted(now, op)
 	}
 	if s.fenced[op.Holder] {
-		return Outcome{Verdict: Fenced}, false
+		return Outcome{Decision: Fenced}, false
 	}
 	r, known := s.record(op)
 	r.lastUsed = now
@@ -62,15 +62,15 @@
 	case !known:
 		return s.startAttempt(r, op, r.Attempt+1), true
 	case r.Digest != op.Digest || r.NotRepeatable != op.NotRepeatable:
-		return Outcome{Verdict: Mismatch}, false
+		return Outcome{Decision: Mismatch}, false
 	case r.Running && r.Claim == op.Claim:
 		return r.extend(op)
-	case r.Running && op.Supersede != r.Holder:
-		return Outcome{Verdict: Busy, Holder: r.Holder, Instance: r.Instance, Claim: r.Claim}, false
+	case r.Running && op.SupersededHolder != r.Holder:
+		return Outcome{Decision: Busy, Holder: r.Holder, Instance: r.Instance, Claim: r.Claim}, false
 	case r.NotRepeatable && (r.Running || r.OutcomeUnknown):
-		return Outcome{Verdict: Unresolved}, false
+		return Outcome{Decision: OutcomeUnknown}, false
 	case r.NotRepeatable && r.Billed:
-		return Outcome{Verdict: Finished, Code: r.Code, Answer: r.Answer, AnswerType: r.AnswerType}, false
+		return Outcome{Decision: Finished, Code: r.Code, Answer: r.Answer, AnswerType: r.AnswerType}, false
 	default:
 		return s.startAttempt(r, op, r.Attempt+1), true
 	}
@@ -82,7 +82,7 @@
 func (s *state) applyAccepted(now time.Time, op Op) (Outcome, bool) {
 	r, _ := s.record(op)
 	r.lastUsed = now
-	outcome := Outcome{Verdict: Run, Attempt: op.Attempt}
+	outcome := Outcome{Decision: Run, Attempt: op.Attempt}
 	if _, settled := r.charges[op.Claim]; settled {
 		return outcome, false
 	}
@@ -92,7 +92,7 @@
 	if !s.fenced[op.Holder] {
 		return s.startAttempt(r, op, op.Attempt), true
 	}
-	s.charge(r, op.Claim, worstCase(op.Holder, op.Attempt, op.Worst, op.Worst))
+	s.charge(r, op.Claim, worstCase(op.Holder, op.Attempt, op.MaxTokens, op.MaxTokens))
 	r.Attempt = max(r.Attempt, op.Attempt)
 	r.OutcomeUnknown = r.NotRepeatable
 	return outcome, true
@@ -101,9 +101,9 @@
 // extend answers a repeated claim. A claim with a higher worst case, which allows
 // another try, belongs in the log.
 func (r *Record) extend(op Op) (Outcome, bool) {
-	more := op.Worst > r.Worst
-	r.Worst = max(r.Worst, op.Worst)
-	return Outcome{Verdict: Run, Attempt: r.Attempt}, more
+	more := op.MaxTokens > r.MaxTokens
+	r.MaxTokens = max(r.MaxTokens, op.MaxTokens)
+	return Outcome{Decision: Run, Attempt: r.Attempt}, more
 }
 
 // startAttempt makes the op's claim the running attempt. The tokens served by a
@@ -118,9 +118,9 @@
 	r.Claim = op.Claim
 	r.Holder = op.Holder
 	r.Instance = op.Instance
-	r.MaxPerTry = op.Worst
-	r.Worst = op.Worst
-	return Outcome{Verdict: Run, Attempt: attempt}
+	r.MaxPerTry = op.MaxTokens
+	r.MaxTokens = op.MaxTokens
+	return Outcome{Decision: Run, Attempt: attempt}
 }
 
 // charge sets the charge of an attempt and updates the total of its budget.
@@ -131,11 +131,11 @@
 
 // chargeRunning charges the running attempt its worst case.
 func (s *state) chargeRunning(r *Record) {
-	s.charge(r, r.Claim, worstCase(r.Holder, r.Attempt, r.Worst, r.MaxPerTry))
+	s.charge(r, r.Claim, worstCase(r.Holder, r.Attempt, r.MaxTokens, r.MaxPerTry))
 }
 
-func worstCase(holder string, attempt int, worst, limit int64) charge {
-	return charge{tokens: worst, holder: holder, attempt: attempt, maxPerTry: limit}
+func worstCase(holder string, attempt int, maxTokens, limit int64) charge {
+	return charge{tokens: maxTokens, holder: holder, attempt: attempt, maxPerTry: limit}
 }
 
 // bill adds an attempt to the single billing record of the request. A repeated
@@ -143,7 +143,7 @@
 func (s *state) bill(now time.Time, op Op) (Outcome, bool) {
 	r, _ := s.record(op)
 	if r.charges[op.Claim].final {
-		return Outcome{Verdict: Recorded}, false
+		return Outcome{Decision: Recorded}, false
 	}
 	s.charge(r, op.Claim, charge{tokens: op.Tokens, final: true, holder: op.Holder, attempt: op.Attempt})
 	r.Billed = true
@@ -156,24 +156,24 @@
 		r.Running = false
 	}
 	r.Attempt = max(r.Attempt, op.Attempt)
-	return Outcome{Verdict: Recorded}, true
+	return Outcome{Decision: Recorded}, true
 }
 
 // withdraw ends a claim whose attempt was certainly not dispatched.
 func (s *state) withdraw(op Op) (Outcome, bool) {
 	r, ok := s.records[op.Request]
 	if !ok || !r.Running || r.Claim != op.Claim {
-		return Outcome{Verdict: Recorded}, false
+		return Outcome{Decision: Recorded}, false
 	}
 	r.Running = false
-	return Outcome{Verdict: Recorded}, true
+	return Outcome{Decision: Recorded}, true
 }
 
 // fence fences a holder. Its running attempts are charged their worst case, and a
 // not-repeatable one is never run again.
 func (s *state) fence(op Op) Outcome {
 	s.fenced[op.Holder] = true
-	outcome := Outcome{Verdict: Recorded}
+	outcome := Outcome{Decision: Recorded}
 	for request, r := range s.records {
 		if r.Running && r.Holder == op.Holder {
 			s.chargeRunning(r)
@@ -203,7 +203,7 @@
 			Target:    r.Target,
 			Attempt:   c.attempt,
 			MaxPerTry: c.maxPerTry,
-			Worst:     c.tokens,
+			MaxTokens: c.tokens,
 		})
 	}
 	return list
--- a/router/router.go
+++ b/router/router.go
@@ -182,8 +182,8 @@
 func (r *Router) ledgerConfig() ledger.Config {
 	cfg := ledger.DefaultConfig()
 	cfg.Owner = r.incarnation
-	cfg.Spacing = r.settings.Ledger.Spacing.Std()
-	cfg.Linger = r.settings.Ledger.Linger.Std()
+	cfg.MinCommitInterval = r.settings.Ledger.Spacing.Std()
+	cfg.MaxCommitDelay = r.settings.Ledger.Linger.Std()
 	cfg.Retention = r.settings.Ledger.Retention.Std()
 	return cfg
 }
