--- a/controller/ledgers/ledgers.go
+++ b/controller/ledgers/ledgers.go
@@ -52,8 +52,8 @@
 	onStop  func()
 }
 
-// Stop calls onStop. It is used when this router learns that it has been fenced.
-func (c *Controller) Stop() { c.onStop() }
+// StopFenced calls onStop. It is used when this router learns that it has been fenced.
+func (c *Controller) StopFenced() { c.onStop() }
 
 // lockedShard is a ledger shard with its lock.
 type lockedShard struct {
--- a/controller/ledgers/submit.go
+++ b/controller/ledgers/submit.go
@@ -256,7 +256,7 @@
 // request. A holder that does not answer is presumed gone.
 func (c *Controller) Running(ctx context.Context, outcome ledger.Outcome, request string) bool {
 	if outcome.Holder == c.incarnation {
-		return c.Serves(c.incarnation, outcome.Claim)
+		return c.IsServing(c.incarnation, outcome.Claim)
 	}
 	addr, ok := c.members.Addr(outcome.Instance)
 	if !ok {
@@ -273,22 +273,22 @@
 	return resp.Running
 }
 
-// Serves reports whether this process has the given incarnation and serves the claim.
-func (c *Controller) Serves(incarnation, claim string) bool {
+// IsServing reports whether this process has the given incarnation and serves the claim.
+func (c *Controller) IsServing(incarnation, claim string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return incarnation == c.incarnation && c.running[claim]
 }
 
-// Begin marks a claim as being served by this router.
-func (c *Controller) Begin(claim string) {
+// MarkServing marks a claim as being served by this router.
+func (c *Controller) MarkServing(claim string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[claim] = true
 }
 
-// Done marks a claim as no longer being served.
-func (c *Controller) Done(claim string) {
+// UnmarkServing marks a claim as no longer being served.
+func (c *Controller) UnmarkServing(claim string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, claim)
--- a/controller/tables/tables.go
+++ b/controller/tables/tables.go
@@ -32,7 +32,8 @@
 	// abandonAfter is the age at which any router may refuse an undecided
 	// proposal.
 	abandonAfter = 10 * time.Second
-	// decideTimeout bounds the broadcast of an outcome and the peer queries of Confirm.
+	// decideTimeout bounds the broadcast of an outcome and the peer queries of
+	// VerifyCurrent.
 	decideTimeout = time.Second
 	// pollInterval is the interval at which a router reads the outcome of an
 	// undecided change.
@@ -450,10 +451,10 @@
 	return changes, nil
 }
 
-// Confirm verifies, after the process was paused, that the local configuration is
+// VerifyCurrent verifies, after the process was paused, that the local configuration is
 // current. It reloads the log from the store, or else asks for a peer that has no
 // newer revision.
-func (c *Controller) Confirm(ctx context.Context) bool {
+func (c *Controller) VerifyCurrent(ctx context.Context) bool {
 	if c.reload(ctx) != 0 {
 		return true
 	}
--- a/filter/deduplicate/deduplicate.go
+++ b/filter/deduplicate/deduplicate.go
@@ -34,11 +34,12 @@
 	Withdraw(op ledger.Op)
 	// Running reports whether the holder of the claim still serves it.
 	Running(ctx context.Context, outcome ledger.Outcome, request string) bool
-	// Begin and Done mark the start and end of this router's work on a claim.
-	Begin(claim string)
-	Done(claim string)
-	// Stop is called when this router learns that it was fenced.
-	Stop()
+	// MarkServing and UnmarkServing mark the start and end of this router's work on a
+	// claim.
+	MarkServing(claim string)
+	UnmarkServing(claim string)
+	// StopFenced is called when this router learns that it was fenced.
+	StopFenced()
 	// Self returns this router's incarnation and instance.
 	Self() (incarnation, instance string)
 }
@@ -56,8 +57,8 @@
 // Serve implements filter.Handler.
 func (h *handler) Serve(ctx context.Context, x *filter.Exchange) error {
 	op := h.newClaim(x)
-	h.ledger.Begin(op.Claim)
-	defer h.ledger.Done(op.Claim)
+	h.ledger.MarkServing(op.Claim)
+	defer h.ledger.UnmarkServing(op.Claim)
 	done, err := h.claim(ctx, x, op)
 	if done || err != nil {
 		return err
@@ -141,7 +142,7 @@
 	case ledger.Busy:
 		return false, result.New(result.AlreadyRunning, "an attempt with this key is running").After(runningRetryAfter)
 	case ledger.Fenced:
-		h.ledger.Stop()
+		h.ledger.StopFenced()
 		return false, result.New(result.Leaving, "this router was taken to be dead and is stopping").After(runningRetryAfter)
 	case ledger.OutcomeUnknown:
 		return false, result.New(result.OutcomeUnknown, "the request was dispatched by a router that is gone; its outcome is unknown")
--- a/router/pause.go
+++ b/router/pause.go
@@ -11,10 +11,10 @@
 // pauseDetector detects that the process was paused. The configuration may be stale after a
 // pause, so the router refuses requests until the configuration is confirmed.
 type pauseDetector struct {
-	confirm     func(context.Context) bool
-	started     time.Time
-	lastTick    atomic.Int64 // time of the last tick, in nanoseconds since started
-	unconfirmed atomic.Bool  // the configuration is not yet confirmed after a pause
+	verifyCurrent func(context.Context) bool
+	started       time.Time
+	lastTick      atomic.Int64 // time of the last tick, in nanoseconds since started
+	unconfirmed   atomic.Bool  // the configuration is not yet confirmed after a pause
 }
 
 const (
@@ -23,8 +23,8 @@
 	pauseCheckInterval = 100 * time.Millisecond
 )
 
-func newPauseDetector(confirm func(context.Context) bool) *pauseDetector {
-	return &pauseDetector{confirm: confirm, started: clock.Now()}
+func newPauseDetector(verifyCurrent func(context.Context) bool) *pauseDetector {
+	return &pauseDetector{verifyCurrent: verifyCurrent, started: clock.Now()}
 }
 
 func (p *pauseDetector) gapExceeded(now time.Time) bool {
@@ -56,7 +56,7 @@
 		p.unconfirmed.Store(true)
 	}
 	p.lastTick.Store(int64(now.Sub(p.started)))
-	if p.unconfirmed.Load() && p.confirm(ctx) {
+	if p.unconfirmed.Load() && p.verifyCurrent(ctx) {
 		p.unconfirmed.Store(false)
 	}
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -67,7 +67,7 @@
 }
 
 func (r *Router) onRunning(_ context.Context, req *peer.RunningRequest) (*peer.RunningAnswer, error) {
-	return &peer.RunningAnswer{Running: r.ledgers.Serves(req.Incarnation, req.Claim)}, nil
+	return &peer.RunningAnswer{Running: r.ledgers.IsServing(req.Incarnation, req.Claim)}, nil
 }
 
 func (r *Router) onPrepare(ctx context.Context, req *peer.PrepareRequest) (*peer.PrepareAnswer, error) {
--- a/router/router.go
+++ b/router/router.go
@@ -148,7 +148,7 @@
 	r.tables.OnChange(r.health.SetState)
 	r.tables.OnChange(func(st *table.State) { r.metrics.Revision.Set(float64(st.Revision)) })
 	r.members.OnList(r.health.SetList)
-	r.pauseDetector = newPauseDetector(r.tables.Confirm)
+	r.pauseDetector = newPauseDetector(r.tables.VerifyCurrent)
 	r.chain = r.buildChain()
 	r.registerCounters()
 }
