--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -33,11 +33,11 @@
 	First(now time.Time, role string) string
 	// Addr returns the address on which an instance listens for other routers.
 	Addr(id string) (string, bool)
-	// Failed and Reached report the result of a call to an instance.
-	Failed(id string, cause error)
-	Reached(id string)
-	// Restarted reports that an instance runs a different process than the known one.
-	Restarted(id string)
+	// ReportFailure and ReportSuccess report the result of a call to an instance.
+	ReportFailure(id string, cause error)
+	ReportSuccess(id string)
+	// ReportRestart reports that an instance runs a different process than the known one.
+	ReportRestart(id string)
 }
 
 // Controller runs the agent. It is safe for concurrent use.
@@ -185,7 +185,7 @@
 	case budget.WritePage:
 		go c.write(e)
 	case budget.Suspect:
-		c.members.Failed(e.ID, errNoGrant)
+		c.members.ReportFailure(e.ID, errNoGrant)
 	case budget.RetryOwner:
 		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.RetryOwner(now, e.Budget) })
 	case budget.EscrowReclaimed:
--- a/controller/budgets/budgets_test.go
+++ b/controller/budgets/budgets_test.go
@@ -30,9 +30,9 @@
 func (congestedMembers) Self() membership.Member         { return membership.Member{ID: "self"} }
 func (congestedMembers) First(time.Time, string) string  { return "home" }
 func (o congestedMembers) Addr(id string) (string, bool) { return o.addr, id == "home" }
-func (congestedMembers) Failed(string, error)            {}
-func (congestedMembers) Reached(string)                  {}
-func (congestedMembers) Restarted(string)                {}
+func (congestedMembers) ReportFailure(string, error)     {}
+func (congestedMembers) ReportSuccess(string)            {}
+func (congestedMembers) ReportRestart(string)            {}
 func grant(m *budget.Message)                            { m.Kind, m.Scarce = budget.Grant, true }
 
 // newController returns a controller and its client. The owner of all budgets is at addr.
@@ -153,7 +153,7 @@
 	reported chan string
 }
 
-func (r restartRecorder) Restarted(id string) { r.reported <- id }
+func (r restartRecorder) ReportRestart(id string) { r.reported <- id }
 
 // Guards against a router that keeps sending to a process that no longer runs. In a large fleet,
 // a restart is not announced to all routers.
--- a/controller/budgets/messages.go
+++ b/controller/budgets/messages.go
@@ -31,15 +31,15 @@
 	}
 	err := c.deliver(m)
 	if err == nil {
-		c.members.Reached(m.To.ID)
+		c.members.ReportSuccess(m.To.ID)
 		return
 	}
 	certain := errors.Is(err, peer.ErrNotSent)
 	if errors.Is(err, errProcessReplaced) {
 		certain = true // the instance is reachable but runs a different process
-		c.members.Restarted(m.To.ID)
+		c.members.ReportRestart(m.To.ID)
 	} else {
-		c.members.Failed(m.To.ID, err)
+		c.members.ReportFailure(m.To.ID, err)
 	}
 	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.Undelivered(now, m, certain) })
 }
--- a/controller/ledgers/submit.go
+++ b/controller/ledgers/submit.go
@@ -24,10 +24,10 @@
 	req := &peer.LedgerRequest{Shard: n, Op: op, Durable: op.Durable}
 	resp, err := peer.Call[peer.LedgerRequest, peer.LedgerAnswer](ctx, c.peers, addr, peer.MethodLedger, req)
 	if err != nil {
-		c.members.Failed(id, err)
+		c.members.ReportFailure(id, err)
 		return ledger.Outcome{}, err
 	}
-	c.members.Reached(id)
+	c.members.ReportSuccess(id)
 	return resp.Outcome, nil
 }
 
--- a/controller/members/failure_log_test.go
+++ b/controller/members/failure_log_test.go
@@ -18,10 +18,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zap.InfoLevel)
 		c := members.New(member("r0"), nil, 0, zap.New(core))
-		c.Met(member("r1"))
+		c.AddOrUpdate(member("r1"))
 		for range 10000 {
-			c.Failed("r1", errors.New("no answer"))
-			c.Reached("r1")
+			c.ReportFailure("r1", errors.New("no answer"))
+			c.ReportSuccess("r1")
 			time.Sleep(time.Millisecond)
 		}
 		if n := lines.Len(); n == 0 || n > 6 {
--- a/controller/members/members.go
+++ b/controller/members/members.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Excuse sets a function that reports whether failed calls must not be counted against
+// SetIgnoreFailures sets a function that reports whether failed calls must not be counted against
 // members, as while this router's own link is full. Call it before the first call is made.
-func (c *Controller) Excuse(excused func() bool) { c.ignoreFailures = excused }
+func (c *Controller) SetIgnoreFailures(ignore func() bool) { c.ignoreFailures = ignore }
 
 // OnList registers a function that is called with the backend servers of each list.
 // Call it before Run.
@@ -267,8 +267,8 @@
 	return c.live.count
 }
 
-// Met adds or updates a router that has answered or that another one has reported.
-func (c *Controller) Met(m membership.Member) {
+// AddOrUpdate adds or updates a router that has answered or that another one has reported.
+func (c *Controller) AddOrUpdate(m membership.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.Add(m)
@@ -276,14 +276,14 @@
 }
 
 // Registered adds registered routers, and removes those whose registrations were deleted.
-func (c *Controller) Registered(met []membership.Member, gone []string) {
+func (c *Controller) Registered(registered []membership.Member, gone []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range gone {
 		c.view.Remove(id)
 		delete(c.failureLogs, id)
 	}
-	for _, m := range met {
+	for _, m := range registered {
 		c.view.Add(m)
 	}
 	c.live = cachedCount{}
@@ -301,8 +301,8 @@
 	c.Registered(nil, gone)
 }
 
-// Restarted records that a router runs a process other than the known one.
-func (c *Controller) Restarted(id string) {
+// ReportRestart records that a router runs a process other than the known one.
+func (c *Controller) ReportRestart(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.SetIncarnation(id, "")
@@ -330,15 +330,15 @@
 	return c.view.Suspected(now, id)
 }
 
-// Failed records that a call to a member failed, and logs the cause.
-func (c *Controller) Failed(id string, cause error) {
+// ReportFailure records that a call to a member failed, and logs the cause.
+func (c *Controller) ReportFailure(id string, cause error) {
 	if id == c.self.ID || c.ignoreFailures() {
 		return
 	}
 	c.mu.Lock()
 	now := clock.Now()
 	known := c.view.Suspected(now, id)
-	c.view.Failed(now, id)
+	c.view.ReportFailure(now, id)
 	c.dropCaches()
 	leftOut, due := int64(0), false
 	if !known {
@@ -362,14 +362,14 @@
 	return c.failureLogs[id]
 }
 
-// Reached records that a member answered.
-func (c *Controller) Reached(id string) {
+// ReportSuccess records that a member answered.
+func (c *Controller) ReportSuccess(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view.Suspected(clock.Now(), id) {
 		c.dropCaches()
 	}
-	c.view.Reached(id)
+	c.view.ReportSuccess(id)
 }
 
 // SetLeaving records that a member is leaving.
--- a/controller/members/suspended_test.go
+++ b/controller/members/suspended_test.go
@@ -23,8 +23,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		machine := clocktest.New(t)
 		c := members.New(member("r0"), nil, 0, zap.NewNop())
-		c.Met(member("r1"))
-		c.Failed("r1", errors.New("no answer"))
+		c.AddOrUpdate(member("r1"))
+		c.ReportFailure("r1", errors.New("no answer"))
 		if c.Live() != 1 {
 			t.Fatalf("%d routers while one does not answer", c.Live())
 		}
--- a/controller/roster/introduce.go
+++ b/controller/roster/introduce.go
@@ -167,7 +167,7 @@
 // Hello answers another router that introduces itself.
 func (c *Controller) Hello(_ context.Context, req *peer.HelloRequest) (*peer.HelloAnswer, error) {
 	c.addMember(req.Self)
-	c.Members.Reached(req.Self.ID)
+	c.Members.ReportSuccess(req.Self.ID)
 	answer := &peer.HelloAnswer{Self: c.Self}
 	if c.Revision() == 0 {
 		return answer, nil
@@ -202,5 +202,5 @@
 	if r.ID == c.Self.ID || r.ID == "" {
 		return
 	}
-	c.Members.Met(memberOf(r))
+	c.Members.AddOrUpdate(memberOf(r))
 }
--- a/controller/roster/replica.go
+++ b/controller/roster/replica.go
@@ -142,7 +142,7 @@
 
 // takeChanged applies registrations and deletions in order.
 func (c *Controller) takeChanged(objects []changelog.Received) {
-	var met []membership.Member
+	var registered []membership.Member
 	var gone []string
 	for _, o := range objects {
 		if !c.apply(o) {
@@ -164,13 +164,13 @@
 		// A restarted router keeps its registration, so the process that wrote it may not be
 		// the one that runs.
 		r.Incarnation = ""
-		met = append(met, memberOf(r))
+		registered = append(registered, memberOf(r))
 	}
-	if len(met)+len(gone) == 0 {
+	if len(registered)+len(gone) == 0 {
 		return
 	}
-	c.Members.Registered(met, gone)
-	c.Log.Info("registrations of routers", zap.Int("registered", len(met)), zap.Int("gone", len(gone)), zap.Int("known", c.Size()))
+	c.Members.Registered(registered, gone)
+	c.Log.Info("registrations of routers", zap.Int("registered", len(registered)), zap.Int("gone", len(gone)), zap.Int("known", c.Size()))
 }
 
 // apply stores a registration or its deletion, and reports whether it is new.
--- a/controller/updates/ask.go
+++ b/controller/updates/ask.go
@@ -147,13 +147,13 @@
 		if c.Failed != nil {
 			c.Failed(begun, err)
 		}
-		c.Members.Failed(id, err)
+		c.Members.ReportFailure(id, err)
 		c.tryNext()
 		return
 	}
 	c.receiveMu.Lock()
 	defer c.receiveMu.Unlock()
-	c.Members.Reached(id)
+	c.Members.ReportSuccess(id)
 	c.receiveReports(answer)
 	c.receive(ctx, id, answer, begun)
 }
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -344,7 +344,7 @@
 func (f *fleet) add(n int) {
 	r := f.build(n, member(n), nil)
 	for other := range routers {
-		r.members.Met(member(other))
+		r.members.AddOrUpdate(member(other))
 	}
 	r.run()
 }
--- a/controller/updates/pair_test.go
+++ b/controller/updates/pair_test.go
@@ -63,7 +63,7 @@
 	p := &pair{ages: func() updates.Timestamps { return updates.Timestamps{Config: time.Now(), Servers: time.Now()} }}
 	router := func(self int, held *configs.Controller, servers *registry.Controller, fresh func() bool, asOf func() updates.Timestamps) *updates.Controller {
 		known := members.New(member(self), nil, 0, zap.NewNop())
-		known.Met(member(1 - self))
+		known.AddOrUpdate(member(1 - self))
 		return updates.New(updates.Options{
 			Configs: held,
 			Servers: servers, Members: known, Calls: p,
--- a/lab/policy/agents.go
+++ b/lab/policy/agents.go
@@ -142,7 +142,7 @@
 
 func (a *agentAllocator) reportUnreachable(n *node, id string) {
 	if id != routerName(n.index) {
-		n.view.Failed(a.w.Now, id)
+		n.view.ReportFailure(a.w.Now, id)
 	}
 }
 
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -167,13 +167,13 @@
 	v.dropCaches()
 }
 
-// Failed records that a call to the member failed.
-func (v *View) Failed(now time.Time, id string) {
+// ReportFailure records that a call to the member failed.
+func (v *View) ReportFailure(now time.Time, id string) {
 	v.suspectUntil[id] = now.Add(suspectFor)
 }
 
-// Reached records that the member answered.
-func (v *View) Reached(id string) {
+// ReportSuccess records that the member answered.
+func (v *View) ReportSuccess(id string) {
 	delete(v.suspectUntil, id)
 }
 
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -37,7 +37,7 @@
 func TestSuspicionExpiresAndMovesFewRoles(t *testing.T) {
 	now := time.Unix(1, 0)
 	v, whole := view(9), view(9)
-	v.Failed(now, "r3")
+	v.ReportFailure(now, "r3")
 	for i := range 100 {
 		role := fmt.Sprint("role", i)
 		before := whole.First(now, role)
@@ -82,11 +82,11 @@
 		return ids
 	}
 	whole := order()
-	v.Failed(now, whole[0])
+	v.ReportFailure(now, whole[0])
 	if got := order(); !slices.Equal(got, whole[1:]) {
 		t.Errorf("%v with the first of %v suspected", got, whole)
 	}
-	v.Reached(whole[0])
+	v.ReportSuccess(whole[0])
 	v.Remove(whole[3])
 	v.Add(membership.Member{ID: "wide", Kind: "router", Domain: "far", State: membership.Live, LinkMbps: 1000})
 	got := order()
@@ -111,7 +111,7 @@
 	now := time.Unix(1, 0)
 	v, whole := view(9), view(9)
 	first := whole.Owners("role", 3)
-	v.Failed(now, first[0])
+	v.ReportFailure(now, first[0])
 	if got := v.Owners("role", 3); !slices.Equal(got, first) {
 		t.Errorf("%v, and %v where one is suspected", first, got)
 	}
--- a/server/provision.go
+++ b/server/provision.go
@@ -181,7 +181,7 @@
 	s.peers = peer.NewClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: s.shares.PeersOut - helloSockets})
 	s.helloClient = peer.NewGreeter(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: helloSockets})
 	s.members = members.New(membership.Member{ID: self.ID, Kind: "router", Addr: self.Addr, Domain: self.Domain, State: membership.Live, LinkMbps: self.LinkMbps}, nil, 0, s.log)
-	s.members.Excuse(s.link.Congested)
+	s.members.SetIgnoreFailures(s.link.Congested)
 	s.roster = roster.New(roster.Options{
 		Self:       self,
 		Seeds:      s.seeds,
