--- a/budget/agent.go
+++ b/budget/agent.go
@@ -11,22 +11,22 @@
 // needed at once; a larger divisor fragments less near the end of the budget.
 const freeDivisor = 4
 
-// Agent manages the budgets of one router: as entry router for its own callers and as home
+// Agent manages the budgets of one router: as entry router for its own callers and as owner
 // for some budgets. It is not safe for concurrent use.
 type Agent struct {
-	cfg     Config
-	pools   map[string]*pool
-	active  []*pool // the pools that Tick visits, in a fixed order
-	pages   map[int]*pageState
-	effects []Effect
-	token   uint64
-	writes  int64
-	closing bool
-	grants  bool // this router has granted tokens to others as their home
-	sealed  bool
-	fenced  map[string]bool // incarnations whose messages are void
-	limits  map[string]Limit
-	seed    uint64 // differs between most processes
+	cfg      Config
+	balances map[string]*accountBalance
+	active   []*accountBalance // the account balances that Tick visits, in a fixed order
+	pages    map[int]*pageState
+	effects  []Effect
+	token    uint64
+	writes   int64
+	closing  bool
+	grants   bool // this router has granted tokens to others as their owner
+	sealed   bool
+	fenced   map[string]bool // incarnations whose messages are void
+	limits   map[string]Limit
+	seed     uint64 // differs between most processes
 }
 
 // seedCount is the number of distinct seeds, kept small because quasiRandom spreads only
@@ -35,7 +35,7 @@
 
 // NewAgent returns an agent that holds no tokens.
 func NewAgent(cfg Config) *Agent {
-	return &Agent{cfg: cfg, pools: map[string]*pool{}, pages: map[int]*pageState{}, fenced: map[string]bool{}, limits: map[string]Limit{}, seed: xxhash.Sum64String(cfg.Self.Incarnation) % seedCount}
+	return &Agent{cfg: cfg, balances: map[string]*accountBalance{}, pages: map[int]*pageState{}, fenced: map[string]bool{}, limits: map[string]Limit{}, seed: xxhash.Sum64String(cfg.Self.Incarnation) % seedCount}
 }
 
 // takeEffects returns and clears the collected effects.
@@ -47,11 +47,11 @@
 
 func (a *Agent) emit(e Effect) { a.effects = append(a.effects, e) }
 
-func (a *Agent) pool(id string) *pool {
-	p, ok := a.pools[id]
+func (a *Agent) accountBalance(id string) *accountBalance {
+	p, ok := a.balances[id]
 	if !ok {
-		p = newPool(id, PageOf(id, a.cfg.Pages), a.cfg.RateWindow)
-		a.pools[id] = p
+		p = newAccountBalance(id, PageOf(id, a.cfg.Pages), a.cfg.RateWindow)
+		a.balances[id] = p
 	}
 	if !p.active {
 		p.active = true
@@ -60,24 +60,24 @@
 	return p
 }
 
-func (a *Agent) isHome(now time.Time, id string) bool {
-	return a.cfg.Home(now, id) == a.cfg.Self.ID
+func (a *Agent) isOwner(now time.Time, id string) bool {
+	return a.cfg.Owner(now, id) == a.cfg.Self.ID
 }
 
 // Reserve asks for need tokens. It returns a reservation number; if granted is false, a
 // later Resolve effect with that number gives the answer.
 func (a *Agent) Reserve(now time.Time, id string, need int64) (token uint64, granted bool, effects []Effect) {
 	a.token++
-	p := a.pool(id)
+	p := a.accountBalance(id)
 	p.recordUse(now, need)
 	p.demand.add(now, need)
-	a.trackTail(now, p)
+	a.trackFinalReserve(now, p)
 	a.refreshEscrow(now, p)
 	if p.reserve(need) {
 		a.prefetch(now, p)
 		return a.token, true, a.takeEffects()
 	}
-	peersOnly := a.inTail(p) && !a.admitsTail(now, p, need)
+	peersOnly := a.inFinalReserve(p) && !a.admitsFromFinalReserve(now, p, need)
 	p.waiters = append(p.waiters, waiter{token: a.token, need: need, peersOnly: peersOnly})
 	a.advance(now, p)
 	return a.token, false, a.takeEffects()
@@ -86,7 +86,7 @@
 // TryReserve reserves need tokens from the usable balance; it neither waits nor draws
 // more.
 func (a *Agent) TryReserve(now time.Time, id string, need int64) bool {
-	p := a.pool(id)
+	p := a.accountBalance(id)
 	a.refreshEscrow(now, p)
 	if !p.reserve(need) {
 		return false
@@ -97,12 +97,12 @@
 
 // Cancel withdraws a reservation that is still waiting.
 func (a *Agent) Cancel(id string, token uint64) {
-	a.pool(id).removeWaiter(token)
+	a.accountBalance(id).removeWaiter(token)
 }
 
 // Settle ends a reservation of reserved tokens of which actual were spent.
 func (a *Agent) Settle(now time.Time, id string, reserved, actual int64) []Effect {
-	p := a.pool(id)
+	p := a.accountBalance(id)
 	p.reserved -= reserved
 	p.balance += reserved - actual
 	p.demand.add(now, actual-reserved) // the reservation was counted at its worst case
@@ -119,7 +119,7 @@
 	if a.fenced[m.From.Incarnation] {
 		return nil
 	}
-	p := a.pool(m.Budget)
+	p := a.accountBalance(m.Budget)
 	if moved := a.credit(p, m); m.Kind == Back || m.Kind == Draw {
 		p.demand.add(now, -moved) // the tokens were counted when they were granted
 	}
@@ -127,13 +127,13 @@
 	switch m.Kind {
 	case Draw:
 		p.recordUse(now, max(m.Need, 1))
-		a.trackTail(now, p)
+		a.trackFinalReserve(now, p)
 		a.handleDraw(now, p, m)
 	case Grant:
 		a.handleGrant(now, p, m)
 	case Recall:
 		p.scarce = true
-		p.home = m.From
+		p.owner = m.From
 		a.returnToPeer(p, m.From)
 	case Back:
 		p.recallAnswered(m.From.Incarnation)
@@ -144,22 +144,22 @@
 		p.finishLoan(m.From.ID)
 	}
 	a.advance(now, p)
-	if m.Kind == Draw && a.isHome(now, p.id) {
+	if m.Kind == Draw && a.isOwner(now, p.id) {
 		a.prefetch(now, p)
 	}
 	a.returnSurplus(now, p)
 	return a.takeEffects()
 }
 
-// handleDraw queues a peer's draw, or redirects it to the next home if this router is
+// handleDraw queues a peer's draw, or redirects it to the successor if this router is
 // closing.
-func (a *Agent) handleDraw(now time.Time, p *pool, m Message) {
+func (a *Agent) handleDraw(now time.Time, p *accountBalance, m Message) {
 	d := draw{peer: m.From, token: m.Token, need: m.Need, want: m.Want}
 	switch {
 	case a.closing:
 		a.refuseDraw(p, d, Moved)
 		return
-	case p.usable() < p.requested()+m.Need && a.inTail(p) && !a.admitsTail(now, p, m.Need):
+	case p.usable() < p.requested()+m.Need && a.inFinalReserve(p) && !a.admitsFromFinalReserve(now, p, m.Need):
 		a.refuseDraw(p, d, Exhausted)
 		return
 	}
@@ -174,7 +174,7 @@
 }
 
 // credit adds the tokens that the message newly moves here, and returns their number.
-func (a *Agent) credit(p *pool, m Message) int64 {
+func (a *Agent) credit(p *accountBalance, m Message) int64 {
 	if m.To.Incarnation == "" || m.Total <= p.received[m.From.Incarnation] {
 		return 0
 	}
@@ -184,12 +184,12 @@
 	return moved
 }
 
-// handleGrant handles the home's answer to a draw.
-func (a *Agent) handleGrant(now time.Time, p *pool, m Message) {
+// handleGrant handles the owner's answer to a draw.
+func (a *Agent) handleGrant(now time.Time, p *accountBalance, m Message) {
 	p.scarce = m.Scarce
-	p.home = m.From
-	if p.unreachableHome == m.From.ID {
-		p.unreachableHome = ""
+	p.owner = m.From
+	if p.unreachableOwner == m.From.ID {
+		p.unreachableOwner = ""
 	}
 	if m.Token == 0 {
 		p.prefetchSentAt = time.Time{}
@@ -197,7 +197,7 @@
 	switch m.Refused {
 	case "":
 	case Moved:
-		a.skipHome(now, p, m.From.ID)
+		a.skipOwner(now, p, m.From.ID)
 	default:
 		a.serveWaiters(p)
 		if _, ok := p.removeWaiter(m.Token); ok {
@@ -210,19 +210,19 @@
 // certainly did not get it and its tokens are taken back, unless the receiver was fenced,
 // for then they were reclaimed with it.
 func (a *Agent) Undelivered(now time.Time, m Message, certain bool) []Effect {
-	p := a.pool(m.Budget)
+	p := a.accountBalance(m.Budget)
 	if certain && m.Delta > 0 && !a.fenced[m.To.Incarnation] && p.sent[m.To.Incarnation] == m.Total {
 		p.sent[m.To.Incarnation] -= m.Delta
 		p.balance += m.Delta
 	}
-	if certain && p.home == m.To {
-		p.home = Peer{} // it may run under another incarnation now
+	if certain && p.owner == m.To {
+		p.owner = Peer{} // it may run under another incarnation now
 	}
 	switch m.Kind {
 	case Draw:
 		p.resetDraw(m.Token)
 		if m.To.Incarnation == "" || !certain {
-			p.unreachableHome, p.unreachableAt = m.To.ID, now
+			p.unreachableOwner, p.unreachableAt = m.To.ID, now
 		}
 	case Recall:
 		p.recallAnswered(m.To.Incarnation)
@@ -239,9 +239,9 @@
 		return nil
 	}
 	for _, p := range slices.Clone(a.active) {
-		a.tickPool(now, p)
+		a.tickBalance(now, p)
 	}
-	a.active = slices.DeleteFunc(a.active, func(p *pool) bool {
+	a.active = slices.DeleteFunc(a.active, func(p *accountBalance) bool {
 		p.active = a.startingUp(now) || !p.idle()
 		return !p.active
 	})
@@ -275,11 +275,11 @@
 	return false
 }
 
-func (a *Agent) tickPool(now time.Time, p *pool) {
+func (a *Agent) tickBalance(now time.Time, p *accountBalance) {
 	a.refreshEscrow(now, p)
-	p.awaitingNextHome = false
+	p.awaitingSuccessor = false
 	if p.drawTimedOut(now, a.cfg.DrawTimeout) {
-		a.skipHome(now, p, p.drawTarget)
+		a.skipOwner(now, p, p.drawTarget)
 	}
 	if p.loanTimedOut(now, a.cfg.LenderTimeout) {
 		a.emit(Suspect{ID: p.borrowing.from})
@@ -290,15 +290,15 @@
 	}
 	a.advance(now, p)
 	idle := a.cfg.IdleAfter
-	if a.isHome(now, p.id) {
-		idle = a.cfg.HomeIdleAfter
+	if a.isOwner(now, p.id) {
+		idle = a.cfg.OwnerIdleAfter
 	}
 	if a.closing || now.Sub(p.lastUse) >= idle {
 		a.returnIdle(now, p)
 		return
 	}
 	a.returnSurplus(now, p)
-	if a.cfg.StarterShare > 0 && a.isHome(now, p.id) {
+	if a.cfg.InitialShare > 0 && a.isOwner(now, p.id) {
 		a.prefetch(now, p)
 	}
 }
@@ -314,7 +314,7 @@
 
 // Closed reports whether nothing is held, reserved or being written any more.
 func (a *Agent) Closed() bool {
-	for _, p := range a.pools {
+	for _, p := range a.balances {
 		if p.balance > 0 || p.reserved != 0 {
 			return false
 		}
@@ -331,8 +331,8 @@
 // after its registration is gone and others may reclaim its tokens.
 func (a *Agent) Seal() { a.sealed = true }
 
-// Touched returns this holder's incarnation and the pages it used.
-func (a *Agent) Touched() (holder string, pages []int) {
+// UsedPages returns this holder's incarnation and the pages it used.
+func (a *Agent) UsedPages() (holder string, pages []int) {
 	for n := range a.cfg.Pages {
 		if _, ok := a.pages[n]; ok {
 			pages = append(pages, n)
--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -21,9 +21,9 @@
 	Boot string `json:"boot"`
 	// At is the monotonic clock before the write was sent, in nanoseconds.
 	At int64 `json:"at"`
-	// OfDay is the wall clock at that moment, in Unix nanoseconds; 0: it was not recorded,
-	// and nothing proves the entry's age.
-	OfDay int64 `json:"of_day,omitempty"`
+	// WallClock is the wall clock at that moment, in Unix nanoseconds; 0: it was not
+	// recorded, and nothing proves the entry's age.
+	WallClock int64 `json:"of_day,omitempty"`
 	// Schedule determines how the parts are released.
 	Schedule Schedule `json:"schedule"`
 	// Parts are the withheld tokens by budget.
@@ -84,7 +84,7 @@
 
 // refreshEscrow recomputes how much of the balance may not be used now: what the page in
 // the store says, or may say if a write's answer is outstanding or lost.
-func (a *Agent) refreshEscrow(now time.Time, p *pool) {
+func (a *Agent) refreshEscrow(now time.Time, p *accountBalance) {
 	p.escrow = 0
 	ps := a.pages[p.page]
 	if !a.keepsEscrow() || ps == nil {
@@ -97,15 +97,15 @@
 }
 
 // keepsEscrow reports whether this router keeps escrows.
-func (a *Agent) keepsEscrow() bool { return a.cfg.OpenHorizon > 0 }
+func (a *Agent) keepsEscrow() bool { return a.cfg.UsableHorizon > 0 }
 
 // usable returns the tokens that may be spent or lent now.
-func (p *pool) usable() int64 { return p.balance - p.escrow }
+func (p *accountBalance) usable() int64 { return p.balance - p.escrow }
 
 // usableTarget returns how many tokens a write of the page leaves usable: the demand until
 // the page is likely written again.
-func (a *Agent) usableTarget(now time.Time, p *pool) int64 {
-	target := p.expectedDemand(now, a.cfg.OpenHorizon)
+func (a *Agent) usableTarget(now time.Time, p *accountBalance) int64 {
+	target := p.expectedDemand(now, a.cfg.UsableHorizon)
 	return max(target, int64(a.cfg.HeldRequests*p.meanNeed)) + p.requested()
 }
 
@@ -125,11 +125,11 @@
 		}
 	}
 	value.Escrows[a.cfg.Self.Incarnation] = Escrow{
-		Boot:     a.cfg.Boot,
-		At:       int64(a.cfg.Uptime(now)),
-		OfDay:    a.cfg.TimeOfDay().UnixNano(),
-		Schedule: e.schedule,
-		Parts:    maps.Clone(e.parts),
+		Boot:      a.cfg.Boot,
+		At:        int64(a.cfg.Uptime(now)),
+		WallClock: a.cfg.WallClock().UnixNano(),
+		Schedule:  e.schedule,
+		Parts:     maps.Clone(e.parts),
 	}
 	return e
 }
@@ -137,7 +137,7 @@
 // needsEscrowRewrite reports whether the page should be written for its escrow alone: so
 // little is usable that more should be released, or so much that the excess should be put
 // in escrow again.
-func (a *Agent) needsEscrowRewrite(now time.Time, p *pool) bool {
+func (a *Agent) needsEscrowRewrite(now time.Time, p *accountBalance) bool {
 	if !a.keepsEscrow() {
 		return false
 	}
@@ -149,9 +149,9 @@
 }
 
 // exceedsUsableTarget reports whether far more is usable than a write would leave usable.
-func (a *Agent) exceedsUsableTarget(now time.Time, p *pool, usable, target float64) bool {
+func (a *Agent) exceedsUsableTarget(now time.Time, p *accountBalance, usable, target float64) bool {
 	ps := a.pages[p.page]
-	if ps == nil || ps.write != nil || now.Sub(ps.wroteAt) < a.cfg.ResealEvery {
+	if ps == nil || ps.write != nil || now.Sub(ps.wroteAt) < a.cfg.EscrowRewriteInterval {
 		return false
 	}
 	return usable > maxUsableRatio*target
@@ -175,12 +175,12 @@
 		}
 		ps.rewriteEscrow = true
 		if !age.proven(e) {
-			a.emit(GivenUp{Holder: holder, Steady: age.steady, OfDay: age.ofDay, Tokens: e.tokens()})
+			a.emit(EscrowWrittenOff{Holder: holder, Steady: age.steady, WallClock: age.wallClock, Tokens: e.tokens()})
 			ps.page.Close(holder)
 			continue
 		}
 		tokens := ps.page.release(holder, e, age.steady)
-		a.emit(TakenBack{Holder: holder, Age: age.steady, Tokens: tokens})
+		a.emit(EscrowReclaimed{Holder: holder, Age: age.steady, Tokens: tokens})
 	}
 }
 
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -12,10 +12,10 @@
 	"github.com/gaplink/gaplink/budget"
 )
 
-// openHorizon and the release constants define the schedule by which the routers in the
+// usableHorizon and the release constants define the schedule by which the routers in the
 // tests release their escrow.
 const (
-	openHorizon   = 1500 * time.Millisecond
+	usableHorizon = 1500 * time.Millisecond
 	releaseSpeed  = 1.1
 	releaseSlow   = 4 * time.Second
 	releaseWithin = 10 * time.Second
@@ -24,26 +24,26 @@
 // epoch is the boot time of all machines in the tests.
 var epoch = time.Unix(0, 0)
 
-// ownHomeConfig returns the configuration of a router that draws for itself, borrows from
+// selfOwnerConfig returns the configuration of a router that draws for itself, borrows from
 // the others and keeps an escrow.
-func ownHomeConfig(id, incarnation string, started time.Time, lenders []budget.Peer) budget.Config {
+func selfOwnerConfig(id, incarnation string, started time.Time, lenders []budget.Peer) budget.Config {
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: id, Incarnation: incarnation}
-	cfg.Home = func(time.Time, string) string { return id }
+	cfg.Owner = func(time.Time, string) string { return id }
 	cfg.Lenders = func(time.Time, string) []budget.Peer { return lenders }
 	cfg.HeldRequests, cfg.LowRequests = 1, 0.5
 	cfg.Surplus, cfg.RefillBelow = 0.25, 0.9
-	cfg.CheckEvery = time.Millisecond
-	cfg.OpenHorizon, cfg.ResealEvery = openHorizon, time.Second
+	cfg.LookupInterval = time.Millisecond
+	cfg.UsableHorizon, cfg.EscrowRewriteInterval = usableHorizon, time.Second
 	cfg.Release = budget.Schedule{Speed: releaseSpeed, Slow: releaseSlow, Within: releaseWithin}
 	cfg.Started = started
 	cfg.Predecessor = func(holder string) bool { return strings.HasPrefix(holder, id+"/") }
 	return cfg
 }
 
-// bootOwnHome starts a process of a router that is its own home.
-func (n *network) bootOwnHome(r *router) {
+// bootSelfOwner starts a process of a router that is its own owner.
+func (n *network) bootSelfOwner(r *router) {
 	r.incarnationNumber++
 	r.storeCalls, r.running = nil, nil
 	var lenders []budget.Peer
@@ -52,16 +52,16 @@
 			lenders = append(lenders, budget.Peer{ID: fmt.Sprintf("r%d", other.index), Incarnation: other.incarnation()})
 		}
 	}
-	cfg := ownHomeConfig(fmt.Sprintf("r%d", r.index), r.incarnation(), n.at(r), lenders)
+	cfg := selfOwnerConfig(fmt.Sprintf("r%d", r.index), r.incarnation(), n.at(r), lenders)
 	n.setClocks(r, &cfg)
 	cfg.StoreLost = func() bool { return n.storeLost }
-	if n.tail {
-		cfg.TailShare, cfg.TailTime = 0.02, 15*time.Second
+	if n.finalReserve {
+		cfg.FinalReserveShare, cfg.FinalReserveTime = 0.02, 15*time.Second
 	}
 	cfg.Routers = func() int { return len(n.routers) }
 	cfg.ScarceWithin = n.scarceWithin
-	if n.sharedHome {
-		n.setSharedHome(&cfg)
+	if n.sharedOwner {
+		n.setSharedOwner(&cfg)
 	}
 	r.agent = budget.NewAgent(cfg)
 	n.perform(r, r.agent.SetLimits(n.at(r), n.limits()))
@@ -77,7 +77,7 @@
 	for _, need := range r.running {
 		n.spent += need
 	}
-	n.bootOwnHome(r)
+	n.bootSelfOwner(r)
 }
 
 // raise changes the limit and sends the new one to some routers.
@@ -122,7 +122,7 @@
 			n.routers = append(n.routers, &router{index: i})
 		}
 		for _, r := range n.routers {
-			n.bootOwnHome(r)
+			n.bootSelfOwner(r)
 		}
 		t.Repeat(escrowActions(n))
 	})
@@ -155,7 +155,7 @@
 		}
 	}
 	all["suspend"] = func(t *rapid.T) { n.suspend(t, n.routers[pick.Draw(t, "router")]) }
-	all["set time of day"] = func(t *rapid.T) { n.setTimeOfDay(t, n.routers[pick.Draw(t, "router")]) }
+	all["set time of day"] = func(t *rapid.T) { n.setWallClock(t, n.routers[pick.Draw(t, "router")]) }
 	all["step"] = func(t *rapid.T) {
 		n.now = n.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 	}
@@ -209,7 +209,7 @@
 	n := &network{t: t, now: epoch.Add(time.Hour), page: budget.NewPage(), waiting: map[string]int64{}, limit: 100000, limitVersion: 1}
 	r := &router{index: 0}
 	n.routers = []*router{r}
-	n.bootOwnHome(r)
+	n.bootSelfOwner(r)
 	n.serve(r, 100)
 	return n, r
 }
--- a/budget/holding.go
+++ b/budget/holding.go
@@ -16,8 +16,8 @@
 	Sent, Received map[string]int64
 }
 
-// Seen is the data that a reservation decision is based on.
-type Seen struct {
+// DecisionInput is the data that a reservation decision is based on.
+type DecisionInput struct {
 	// Usable is the balance less the escrow; Reserved is held by running requests.
 	Usable, Reserved int64
 	// Free is what the store had left to issue and Limit the budget's limit, as read with
@@ -27,14 +27,14 @@
 	Age         time.Duration
 }
 
-// Seen returns the data that the next decision on a budget would be based on.
-func (a *Agent) Seen(now time.Time, id string) Seen {
-	p, ok := a.pools[id]
+// DecisionInput returns the data that the next decision on a budget would be based on.
+func (a *Agent) DecisionInput(now time.Time, id string) DecisionInput {
+	p, ok := a.balances[id]
 	if !ok {
-		return Seen{}
+		return DecisionInput{}
 	}
 	a.refreshEscrow(now, p)
-	s := Seen{Usable: p.usable(), Reserved: p.reserved}
+	s := DecisionInput{Usable: p.usable(), Reserved: p.reserved}
 	ps := a.pages[p.page]
 	if ps == nil || ps.page == nil || ps.page.Budgets[id] == nil {
 		return s
@@ -48,15 +48,15 @@
 // what it was sent before is reclaimed, but what was sent afterwards would be lost.
 func (a *Agent) Fence(incarnation string) {
 	a.fenced[incarnation] = true
-	for _, p := range a.pools {
+	for _, p := range a.balances {
 		p.removeIncarnation(incarnation)
 	}
 }
 
-// removeIncarnation drops a fenced incarnation from the pool's peers.
-func (p *pool) removeIncarnation(incarnation string) {
-	if p.home.Incarnation == incarnation {
-		p.home = Peer{}
+// removeIncarnation drops a fenced incarnation from the account balance's peers.
+func (p *accountBalance) removeIncarnation(incarnation string) {
+	if p.owner.Incarnation == incarnation {
+		p.owner = Peer{}
 	}
 	delete(p.holders, incarnation)
 	kept := p.draws[:0]
@@ -70,7 +70,7 @@
 
 // Holding returns what this router holds of a budget.
 func (a *Agent) Holding(id string) Holding {
-	p, ok := a.pools[id]
+	p, ok := a.balances[id]
 	if !ok {
 		return Holding{}
 	}
@@ -85,8 +85,8 @@
 
 // Holdings returns what this router holds of every budget that it has used.
 func (a *Agent) Holdings() map[string]Holding {
-	all := make(map[string]Holding, len(a.pools))
-	for id := range a.pools {
+	all := make(map[string]Holding, len(a.balances))
+	for id := range a.balances {
 		all[id] = a.Holding(id)
 	}
 	return all
--- a/budget/machine_test.go
+++ b/budget/machine_test.go
@@ -36,8 +36,8 @@
 	booted := m.booted
 	cfg.Boot = fmt.Sprintf("boot %d of r%d", m.bootIDs, r.index)
 	cfg.Uptime = func(now time.Time) time.Duration { return now.Sub(booted) }
-	cfg.TimeOfDay = func() time.Time { return n.now.Add(m.clockOffset) }
-	cfg.StartedOfDay = cfg.TimeOfDay()
+	cfg.WallClock = func() time.Time { return n.now.Add(m.clockOffset) }
+	cfg.StartedWallClock = cfg.WallClock()
 }
 
 // losePower ends a router's process and reboots its machine: the monotonic clock restarts;
@@ -67,8 +67,8 @@
 // maxOffset is how far the wall clock of a machine may be off.
 const maxOffset = 6 * time.Second
 
-// setTimeOfDay sets the wall clock of a machine.
-func (n *network) setTimeOfDay(t *rapid.T, r *router) {
+// setWallClock sets the wall clock of a machine.
+func (n *network) setWallClock(t *rapid.T, r *router) {
 	most := int(maxOffset / time.Millisecond)
 	r.machine.clockOffset = time.Duration(rapid.IntRange(-most, most).Draw(t, "ahead ms")) * time.Millisecond
 }
@@ -85,7 +85,7 @@
 		n.routers = []*router{r}
 		r.machine.booted = n.now
 		n.now = n.now.Add(time.Duration(rapid.IntRange(0, 30000).Draw(t, "first start ms")) * time.Millisecond)
-		n.bootOwnHome(r)
+		n.bootSelfOwner(r)
 		n.serve(r, rapid.IntRange(10, 100).Draw(t, "requests"))
 		for range rapid.IntRange(1, 2).Draw(t, "losses of power") {
 			n.dieDuringOutage(t, r)
@@ -139,7 +139,7 @@
 		young := rapid.Bool().Draw(t, "young machine")
 		if young {
 			r.machine.booted = n.now
-			n.bootOwnHome(r)
+			n.bootSelfOwner(r)
 			n.serve(r, 50)
 		} else {
 			r.machine.clockOffset = 2 * time.Second
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -9,11 +9,11 @@
 const (
 	// Exhausted: the store and the known holders have too few tokens left.
 	Exhausted Cause = "exhausted"
-	// Unreachable: tokens may be left, but the store or the home did not answer.
+	// Unreachable: tokens may be left, but the store or the owner did not answer.
 	Unreachable Cause = "unreachable"
 	// Unknown: the store has no such budget.
 	Unknown Cause = "unknown"
-	// Moved: the router asked is closing or is not the home; ask the next home.
+	// Moved: the router asked is closing or is not the owner; ask the successor.
 	Moved Cause = "moved"
 )
 
@@ -30,13 +30,13 @@
 
 // The message kinds.
 const (
-	// Draw asks the home for tokens.
+	// Draw asks the owner for tokens.
 	Draw Kind = "draw"
-	// Grant moves tokens from the home, or refuses a draw.
+	// Grant moves tokens from the owner, or refuses a draw.
 	Grant Kind = "grant"
 	// Recall asks a holder for its unused tokens.
 	Recall Kind = "recall"
-	// Back returns unused tokens to the home.
+	// Back returns unused tokens to the owner.
 	Back Kind = "back"
 	// Borrow asks any router for tokens, when the store has too few or does not answer.
 	Borrow Kind = "borrow"
@@ -95,19 +95,20 @@
 	Cause Cause
 }
 
-// Suspect reports that an instance did not answer in time, or that it is not the home.
+// Suspect reports that an instance did not answer in time, or that it is not the owner.
 type Suspect struct{ ID string }
 
-// AskAgain requests a call of Agent.AskAgain after the preceding effects have been carried
-// out: only then is another router the home.
-type AskAgain struct{ Budget string }
+// RetryOwner requests a call of Agent.RetryOwner after the preceding effects have been
+// carried out: only then is another router the owner.
+type RetryOwner struct{ Budget string }
 
-// Stop reports that this holder was fenced: its tokens are void, and the process must end.
-type Stop struct{}
+// HolderFenced reports that this holder was fenced: its tokens are void, and the process
+// must end.
+type HolderFenced struct{}
 
-// TakenBack reports that the tokens which an earlier process of this instance held in
+// EscrowReclaimed reports that the tokens which an earlier process of this instance held in
 // escrow count as free in the copy of a page; the next write makes that permanent.
-type TakenBack struct {
+type EscrowReclaimed struct {
 	// Holder is the earlier process.
 	Holder string
 	// Age is the time from its last write to the start of this process.
@@ -116,24 +117,24 @@
 	Tokens map[string]int64
 }
 
-// GivenUp reports that an earlier process of this instance held tokens in escrow that
-// cannot be proven unused: they count as spent from the next write on.
-type GivenUp struct {
+// EscrowWrittenOff reports that an earlier process of this instance held tokens in escrow
+// that cannot be proven unused: they count as spent from the next write on.
+type EscrowWrittenOff struct {
 	// Holder is the earlier process.
 	Holder string
-	// Steady and OfDay are the time from its last write to the start of this process, by
-	// the monotonic clock and by the wall clock.
-	Steady, OfDay time.Duration
+	// Steady and WallClock are the time from its last write to the start of this process,
+	// by the monotonic clock and by the wall clock.
+	Steady, WallClock time.Duration
 	// Tokens are the tokens in escrow at that write, by budget.
 	Tokens map[string]int64
 }
 
-func (Send) effect()      {}
-func (ReadPage) effect()  {}
-func (WritePage) effect() {}
-func (Resolve) effect()   {}
-func (Suspect) effect()   {}
-func (AskAgain) effect()  {}
-func (Stop) effect()      {}
-func (TakenBack) effect() {}
-func (GivenUp) effect()   {}
+func (Send) effect()             {}
+func (ReadPage) effect()         {}
+func (WritePage) effect()        {}
+func (Resolve) effect()          {}
+func (Suspect) effect()          {}
+func (RetryOwner) effect()       {}
+func (HolderFenced) effect()     {}
+func (EscrowReclaimed) effect()  {}
+func (EscrowWrittenOff) effect() {}
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -17,8 +17,8 @@
 	Conflict
 	// Unavailable: the call had no effect.
 	Unavailable
-	// Lost: the answer was lost; a write may have taken effect, now or later.
-	Lost
+	// ResultUnknown: the answer was lost; a write may have taken effect, now or later.
+	ResultUnknown
 )
 
 // pageOp is one requested change of a page: a draw, or a return when need is negative.
@@ -29,8 +29,8 @@
 	at     time.Time
 	// awaited tells that a caller waits for the write although it draws nothing.
 	awaited bool
-	// tail tells that the draw may take from the budget's tail.
-	tail bool
+	// finalReserve tells that the draw may take from the budget's final reserve.
+	finalReserve bool
 }
 
 // appliedOp is a pageOp with the number of tokens that the write moves for it.
@@ -80,11 +80,11 @@
 }
 
 // drawFromStore queues a draw of at least need and, depending on demand, more.
-func (a *Agent) drawFromStore(now time.Time, p *pool, need int64) {
+func (a *Agent) drawFromStore(now time.Time, p *accountBalance, need int64) {
 	p.lookup = lookupRunning
 	p.lookedAt = now
 	want := a.targetBalance(now, p)
-	a.queue(now, pageOp{budget: p.id, need: need, want: max(want-p.balance, need), tail: a.inTail(p)})
+	a.queue(now, pageOp{budget: p.id, need: need, want: max(want-p.balance, need), finalReserve: a.inFinalReserve(p)})
 }
 
 func (a *Agent) queue(now time.Time, op pageOp) {
@@ -154,7 +154,7 @@
 }
 
 // makeUrgent turns a queued prefetch into a draw that callers wait for.
-func (a *Agent) makeUrgent(now time.Time, p *pool) {
+func (a *Agent) makeUrgent(now time.Time, p *accountBalance) {
 	ps := a.pages[p.page]
 	if ps == nil {
 		return
@@ -170,7 +170,7 @@
 }
 
 // batchDraws adds draws for the page's other budgets that are below their target balance
-// at their home, so that one write serves the whole page and the number of writes does not
+// at their owner, so that one write serves the whole page and the number of writes does not
 // grow with the number of budgets.
 func (a *Agent) batchDraws(now time.Time, n int, ps *pageState) {
 	if a.closing {
@@ -181,7 +181,7 @@
 			continue
 		}
 		target := a.targetBalance(now, p)
-		if !a.isHome(now, p.id) {
+		if !a.isOwner(now, p.id) {
 			continue
 		}
 		if a.cfg.Surplus > 0 && float64(p.balance) > float64(target)*(1+a.cfg.Surplus) {
@@ -198,21 +198,21 @@
 	}
 }
 
-// returnExcess queues a return of tokens beyond a home's target balance.
-func (a *Agent) returnExcess(now time.Time, p *pool, ps *pageState, tokens int64) {
+// returnExcess queues a return of tokens beyond an owner's target balance.
+func (a *Agent) returnExcess(now time.Time, p *accountBalance, ps *pageState, tokens int64) {
 	p.balance -= tokens
 	ps.ops = append(ps.ops, pageOp{budget: p.id, need: -tokens, at: now})
 }
 
 // needsRead reports whether a queued draw needs a newer copy of the page: the held one is
-// older than CheckEvery and has too few tokens.
+// older than LookupInterval and has too few tokens.
 func (a *Agent) needsRead(now time.Time, ps *pageState) bool {
-	if ps.write != nil || now.Sub(ps.readAt) < a.cfg.CheckEvery {
+	if ps.write != nil || now.Sub(ps.readAt) < a.cfg.LookupInterval {
 		return false
 	}
 	for _, op := range ps.ops {
 		r := ps.page.Budgets[op.budget]
-		if op.need >= 0 && (r == nil || a.spendable(r, op.tail) < max(op.need, op.want)) {
+		if op.need >= 0 && (r == nil || a.spendable(r, op.finalReserve) < max(op.need, op.want)) {
 			return true
 		}
 	}
@@ -227,7 +227,7 @@
 	applied := make([]appliedOp, 0, len(ps.ops))
 	for _, op := range ps.ops {
 		tokens := a.tokensFor(value, op)
-		if op.need >= 0 && a.needsEscrowRewrite(now, a.pool(op.budget)) {
+		if op.need >= 0 && a.needsEscrowRewrite(now, a.accountBalance(op.budget)) {
 			changed = true
 		}
 		if tokens != 0 {
@@ -258,7 +258,7 @@
 	if op.need < 0 {
 		return op.need
 	}
-	free := a.spendable(r, op.tail)
+	free := a.spendable(r, op.finalReserve)
 	return max(min(op.need, free), min(op.want, free/freeDivisor))
 }
 
@@ -270,7 +270,7 @@
 	switch result {
 	case Done:
 		if page.Fenced[a.cfg.Self.Incarnation] {
-			a.emit(Stop{})
+			a.emit(HolderFenced{})
 			return a.takeEffects()
 		}
 		ps.page, ps.version, ps.have, ps.readAt = page, version, true, now
@@ -322,7 +322,7 @@
 func (a *Agent) PageWritten(now time.Time, n int, version int64, result StoreResult, current *Page) []Effect {
 	ps := a.pages[n]
 	ps.writing = false
-	ps.failed = result == Lost
+	ps.failed = result == ResultUnknown
 	switch result {
 	case Done:
 		ps.conflicts, ps.pause = 0, 0
@@ -340,7 +340,7 @@
 		if current != nil {
 			return a.PageRead(now, n, version, current, Done)
 		}
-	case Lost:
+	case ResultUnknown:
 		ps.have = false
 		ps.write.lost = true
 	default:
@@ -356,7 +356,7 @@
 }
 
 // unqueueReturns moves tokens that are queued for return to the store back to the balance.
-func (a *Agent) unqueueReturns(p *pool) {
+func (a *Agent) unqueueReturns(p *accountBalance) {
 	ps := a.pages[p.page]
 	if ps == nil {
 		return
@@ -397,7 +397,7 @@
 }
 
 func (a *Agent) finishDraw(now time.Time, ps *pageState, ap appliedOp) {
-	p := a.pool(ap.op.budget)
+	p := a.accountBalance(ap.op.budget)
 	r := ps.page.Budgets[p.id]
 	p.balance += ap.tokens
 	p.unknown = r == nil
@@ -440,7 +440,7 @@
 // failDraw ends the search that waits for a draw. A draw in a lost write may still be
 // credited later.
 func (a *Agent) failDraw(now time.Time, op pageOp) {
-	p := a.pool(op.budget)
+	p := a.accountBalance(op.budget)
 	if op.need < 0 || p.lookup != lookupRunning {
 		return
 	}
--- a/budget/search.go
+++ b/budget/search.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// This file implements how a home obtains more tokens: from the store, then from the
+// This file implements how an owner obtains more tokens: from the store, then from the
 // holders that it granted tokens to, then from other routers; if all fail, it refuses.
 
 // advance grants what the balance covers and searches for more for the rest.
-func (a *Agent) advance(now time.Time, p *pool) {
+func (a *Agent) advance(now time.Time, p *accountBalance) {
 	a.refreshEscrow(now, p)
 	a.serveWaiters(p)
 	a.serveDraws(now, p)
@@ -18,11 +18,11 @@
 		p.resetLookup()
 		return
 	}
-	home := a.isHome(now, p.id)
-	if !home && len(p.waiters) > 0 {
+	owner := a.isOwner(now, p.id)
+	if !owner && len(p.waiters) > 0 {
 		a.sendDraws(now, p)
 	}
-	if !home && len(p.draws) == 0 {
+	if !owner && len(p.draws) == 0 {
 		return
 	}
 	switch {
@@ -39,7 +39,7 @@
 
 // resetLookup clears the result of a finished search, so that the next one starts again at
 // the store.
-func (p *pool) resetLookup() {
+func (p *accountBalance) resetLookup() {
 	if p.lookup == lookupShort || p.lookup == lookupFailed {
 		p.lookup = lookupIdle
 	}
@@ -49,26 +49,26 @@
 func (a *Agent) startingUp(now time.Time) bool { return now.Sub(a.cfg.Started) < startupDelay }
 
 // prefetch asks for more tokens before the balance runs out.
-func (a *Agent) prefetch(now time.Time, p *pool) {
+func (a *Agent) prefetch(now time.Time, p *accountBalance) {
 	if p.scarce || a.closing || p.lookup == lookupRunning || p.recall.active || a.startingUp(now) {
 		return
 	}
-	if a.isHome(now, p.id) {
-		if (p.balance < a.refillThreshold(now, p) || a.needsEscrowRewrite(now, p)) && now.Sub(p.lookedAt) >= a.cfg.CheckEvery {
+	if a.isOwner(now, p.id) {
+		if (p.balance < a.refillThreshold(now, p) || a.needsEscrowRewrite(now, p)) && now.Sub(p.lookedAt) >= a.cfg.LookupInterval {
 			a.drawFromStore(now, p, 0)
 		}
 		return
 	}
-	if p.drawPending() || p.awaitingNextHome || a.homeUnreachable(now, p) && now.Sub(p.unreachableAt) < unreachableHomePause || p.balance >= a.entryTarget(now, p)/freeDivisor {
+	if p.drawPending() || p.awaitingSuccessor || a.ownerUnreachable(now, p) && now.Sub(p.unreachableAt) < unreachableOwnerPause || p.balance >= a.entryTarget(now, p)/freeDivisor {
 		return
 	}
 	p.prefetchSentAt = now
 	a.emit(Send{a.drawMessage(now, p, 0, 1)})
 }
 
-// search takes the home's next step to obtain tokens: the store, then the holders, then
+// search takes the owner's next step to obtain tokens: the store, then the holders, then
 // the other routers, then a refusal. Each step is taken once per search.
-func (a *Agent) search(now time.Time, p *pool) {
+func (a *Agent) search(now time.Time, p *accountBalance) {
 	if a.mayDraw(now, p) {
 		a.drawFromStore(now, p, max(p.drawable(), 0))
 		return
@@ -88,9 +88,9 @@
 }
 
 // unreachableCause returns the cause of a refusal when the store does not answer: Moved if
-// another router, which the store may answer, has become the home.
-func (a *Agent) unreachableCause(now time.Time, p *pool) Cause {
-	if a.isHome(now, p.id) {
+// another router, which the store may answer, has become the owner.
+func (a *Agent) unreachableCause(now time.Time, p *accountBalance) Cause {
+	if a.isOwner(now, p.id) {
 		return Unreachable
 	}
 	return Moved
@@ -98,19 +98,19 @@
 
 // mayDraw reports whether the store may have tokens for the waiting requests, or a write
 // may release some of this router's escrow.
-func (a *Agent) mayDraw(now time.Time, p *pool) bool {
+func (a *Agent) mayDraw(now time.Time, p *accountBalance) bool {
 	if p.lookup != lookupIdle {
 		return false
 	}
 	if p.escrow > 0 && p.balance > 0 {
 		return true
 	}
-	return p.drawable() > 0 && now.Sub(p.shortAt) >= a.cfg.CheckEvery
+	return p.drawable() > 0 && now.Sub(p.shortAt) >= a.cfg.LookupInterval
 }
 
 // startRecall asks the holders for unused tokens; it returns false if there is no holder
 // to ask.
-func (a *Agent) startRecall(now time.Time, p *pool) bool {
+func (a *Agent) startRecall(now time.Time, p *accountBalance) bool {
 	p.scarce = true
 	p.recall = recallRound{at: now, waiting: map[string]bool{}}
 	for _, incarnation := range p.recallableHolders() {
@@ -123,7 +123,7 @@
 
 // recallableHolders returns the incarnations worth a recall, sorted, so that a seeded run
 // is reproducible.
-func (p *pool) recallableHolders() []string {
+func (p *accountBalance) recallableHolders() []string {
 	var list []string
 	for incarnation, h := range p.holders {
 		if h.recallable {
@@ -134,7 +134,7 @@
 	return list
 }
 
-func (a *Agent) refuseAll(p *pool, cause Cause) {
+func (a *Agent) refuseAll(p *accountBalance, cause Cause) {
 	a.refuseWaiters(p, cause)
 	for _, d := range p.draws {
 		a.refuseDraw(p, d, cause)
@@ -143,7 +143,7 @@
 }
 
 // refuseWaiters refuses the reservations of this router's own requests.
-func (a *Agent) refuseWaiters(p *pool, cause Cause) {
+func (a *Agent) refuseWaiters(p *accountBalance, cause Cause) {
 	for _, w := range p.waiters {
 		a.emit(Resolve{Token: w.token, Cause: cause})
 	}
--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -33,11 +33,11 @@
 	First(now time.Time, role string) string
 	// Addr returns the address on which an instance listens for other routers.
 	Addr(id string) (string, bool)
-	// Failed and Reached report the result of a call to an instance.
-	Failed(id string, cause error)
-	Reached(id string)
-	// Restarted reports that an instance runs a different process than the known one.
-	Restarted(id string)
+	// ReportFailure and ReportSuccess report the result of a call to an instance.
+	ReportFailure(id string, cause error)
+	ReportSuccess(id string)
+	// ReportRestart reports that an instance runs a different process than the known one.
+	ReportRestart(id string)
 }
 
 // Controller runs the agent. It is safe for concurrent use.
@@ -59,30 +59,30 @@
 	storeLost func() bool
 }
 
-// homeByPage makes one router the home of all budgets of a page, so that one
+// ownerByPage makes one router the owner of all budgets of a page, so that one
 // write renews all of them.
-func homeByPage(pages int, m Members) func(time.Time, string) string {
-	roles := make([]string, pages)
-	for n := range roles {
-		roles[n] = budget.Role(n)
+func ownerByPage(pages int, m Members) func(time.Time, string) string {
+	rankKeys := make([]string, pages)
+	for n := range rankKeys {
+		rankKeys[n] = budget.RankKey(n)
 	}
 	return func(_ time.Time, id string) string { // the membership view uses another clock than the budgets
-		return m.First(clock.Now(), roles[budget.PageOf(id, pages)])
+		return m.First(clock.Now(), rankKeys[budget.PageOf(id, pages)])
 	}
 }
 
 // escrowTime returns the time by which held budgets age. Other ages include the time for which
 // the machine was suspended. The age of an escrow must not include it: escrows are released, and
-// taken back by the next process, by the machine's monotonic clock, which restarts after a power
+// reclaimed by the next process, by the machine's monotonic clock, which restarts after a power
 // loss and advances only while tokens can be used.
 func escrowTime() time.Time { return time.Now() }
 
-// New returns a controller. Without cfg.Home, the member ranked first for a
-// page's role is the home of the page's budgets. onStop is called when this holder
+// New returns a controller. Without cfg.Owner, the member ranked first for a
+// page's role is the owner of the page's budgets. onStop is called when this holder
 // learns that it has been fenced.
 func New(cfg budget.Config, s store.Store, m Members, p *peer.Client, log *zap.Logger, onStop func()) *Controller {
-	if cfg.Home == nil {
-		cfg.Home = homeByPage(cfg.Pages, m)
+	if cfg.Owner == nil {
+		cfg.Owner = ownerByPage(cfg.Pages, m)
 	}
 	return &Controller{
 		store:   s,
@@ -185,16 +185,16 @@
 	case budget.WritePage:
 		go c.write(e)
 	case budget.Suspect:
-		c.members.Failed(e.ID, errNoGrant)
-	case budget.AskAgain:
-		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.AskAgain(now, e.Budget) })
-	case budget.TakenBack:
+		c.members.ReportFailure(e.ID, errNoGrant)
+	case budget.RetryOwner:
+		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.RetryOwner(now, e.Budget) })
+	case budget.EscrowReclaimed:
 		c.log.Info("tokens of an earlier process taken back", zap.String("holder", e.Holder),
 			zap.Duration("age_ms", e.Age), zap.Any("tokens", e.Tokens))
-	case budget.GivenUp:
+	case budget.EscrowWrittenOff:
 		c.log.Warn("tokens of an earlier process written off: its clock may have restarted", zap.String("holder", e.Holder),
-			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.OfDay), zap.Any("tokens", e.Tokens))
-	case budget.Stop:
+			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.WallClock), zap.Any("tokens", e.Tokens))
+	case budget.HolderFenced:
 		c.onStop()
 	}
 }
@@ -219,11 +219,11 @@
 	return held
 }
 
-// Seen returns the current data on which a decision about a budget is based.
-func (c *Controller) Seen(id string) budget.Seen {
+// DecisionInput returns the current data on which a decision about a budget is based.
+func (c *Controller) DecisionInput(id string) budget.DecisionInput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.agent.Seen(escrowTime(), id)
+	return c.agent.DecisionInput(escrowTime(), id)
 }
 
 // Fence rejects all further messages of an incarnation.
--- a/controller/budgets/budgets_test.go
+++ b/controller/budgets/budgets_test.go
@@ -30,12 +30,12 @@
 func (congestedMembers) Self() membership.Member         { return membership.Member{ID: "self"} }
 func (congestedMembers) First(time.Time, string) string  { return "home" }
 func (o congestedMembers) Addr(id string) (string, bool) { return o.addr, id == "home" }
-func (congestedMembers) Failed(string, error)            {}
-func (congestedMembers) Reached(string)                  {}
-func (congestedMembers) Restarted(string)                {}
+func (congestedMembers) ReportFailure(string, error)     {}
+func (congestedMembers) ReportSuccess(string)            {}
+func (congestedMembers) ReportRestart(string)            {}
 func grant(m *budget.Message)                            { m.Kind, m.Scarce = budget.Grant, true }
 
-// newController returns a controller and its client. The home of all budgets is at addr.
+// newController returns a controller and its client. The owner of all budgets is at addr.
 func newController(addr string) (*budgets.Controller, *peer.Client) {
 	client := peer.NewClient(peer.Options{DialTimeout: 200 * time.Millisecond})
 	cfg := budget.DefaultConfig()
@@ -44,7 +44,7 @@
 	return budgets.New(cfg, memory.New(), congestedMembers{addr: addr}, client, zap.NewNop(), func() {}), client
 }
 
-// makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the home
+// makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the owner
 // for the tokens of each request separately.
 func makeScarce(t *testing.T, c *budgets.Controller) {
 	t.Helper()
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against calls and goroutines that multiply while the home of a budget accepts no
+// Guards against calls and goroutines that multiply while the owner of a budget accepts no
 // messages.
 func TestWaitingRequestsDoNotMultiplyCalls(t *testing.T) {
 	const (
@@ -99,7 +99,7 @@
 	}
 }
 
-// Guards against treating the home as unresponsive when only the link to it is slow: on a
+// Guards against treating the owner as unresponsive when only the link to it is slow: on a
 // congested link the timeout is longer.
 func TestMessageTimeoutIsLongerOnACongestedLink(t *testing.T) {
 	const takes = 500 * time.Millisecond
@@ -153,7 +153,7 @@
 	reported chan string
 }
 
-func (r restartRecorder) Restarted(id string) { r.reported <- id }
+func (r restartRecorder) ReportRestart(id string) { r.reported <- id }
 
 // Guards against a router that keeps sending to a process that no longer runs. In a large fleet,
 // a restart is not announced to all routers.
--- a/lab/policy/agents.go
+++ b/lab/policy/agents.go
@@ -57,7 +57,7 @@
 		restarted: map[string]bool{},
 	}
 	a.cfg.Pages = w.scenario.Pages
-	a.cfg.HomeHorizon = w.scenario.Hold
+	a.cfg.OwnerHorizon = w.scenario.Hold
 	for i := range w.scenario.Routers {
 		a.nodes = append(a.nodes, &node{index: i})
 		a.start(a.nodes[i])
@@ -78,8 +78,8 @@
 	n.view.SetList(list)
 	cfg := a.cfg
 	cfg.Self = budget.Peer{ID: self.ID, Incarnation: n.name()}
-	cfg.Home = func(now time.Time, id string) string {
-		return n.view.First(now, budget.Role(budget.PageOf(id, a.cfg.Pages)))
+	cfg.Owner = func(now time.Time, id string) string {
+		return n.view.First(now, budget.RankKey(budget.PageOf(id, a.cfg.Pages)))
 	}
 	n.agent = budget.NewAgent(cfg)
 	n.waiting = map[uint64]func(bool){}
@@ -134,15 +134,15 @@
 			a.write(n, e)
 		case budget.Suspect:
 			a.reportUnreachable(n, e.ID)
-		case budget.AskAgain:
-			a.execute(n, n.agent.AskAgain(a.w.Now, e.Budget))
+		case budget.RetryOwner:
+			a.execute(n, n.agent.RetryOwner(a.w.Now, e.Budget))
 		}
 	}
 }
 
 func (a *agentAllocator) reportUnreachable(n *node, id string) {
 	if id != routerName(n.index) {
-		n.view.Failed(a.w.Now, id)
+		n.view.ReportFailure(a.w.Now, id)
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -148,7 +148,7 @@
 	r.tables.OnChange(r.health.SetState)
 	r.tables.OnChange(func(st *table.State) { r.metrics.Revision.Set(float64(st.Revision)) })
 	r.members.OnList(r.health.SetList)
-	r.pauseDetector = newPauseDetector(r.tables.Confirm)
+	r.pauseDetector = newPauseDetector(r.tables.VerifyCurrent)
 	r.chain = r.buildChain()
 	r.registerCounters()
 }
@@ -174,7 +174,7 @@
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: r.settings.Instance.ID, Incarnation: r.incarnation}
 	cfg.Pages = r.settings.Budgets.Pages
-	cfg.HomeHorizon = r.settings.Budgets.Hold.Std()
+	cfg.OwnerHorizon = r.settings.Budgets.Hold.Std()
 	cfg.EntryHorizon = r.settings.Budgets.EntryHold.Std()
 	return cfg
 }
@@ -182,8 +182,8 @@
 func (r *Router) ledgerConfig() ledger.Config {
 	cfg := ledger.DefaultConfig()
 	cfg.Owner = r.incarnation
-	cfg.Spacing = r.settings.Ledger.Spacing.Std()
-	cfg.Linger = r.settings.Ledger.Linger.Std()
+	cfg.MinCommitInterval = r.settings.Ledger.Spacing.Std()
+	cfg.MaxCommitDelay = r.settings.Ledger.Linger.Std()
 	cfg.Retention = r.settings.Ledger.Retention.Std()
 	return cfg
 }
--- a/server/provision.go
+++ b/server/provision.go
@@ -181,7 +181,7 @@
 	s.peers = peer.NewClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: s.shares.PeersOut - helloSockets})
 	s.helloClient = peer.NewGreeter(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: helloSockets})
 	s.members = members.New(membership.Member{ID: self.ID, Kind: "router", Addr: self.Addr, Domain: self.Domain, State: membership.Live, LinkMbps: self.LinkMbps}, nil, 0, s.log)
-	s.members.Excuse(s.link.Congested)
+	s.members.SetIgnoreFailures(s.link.Congested)
 	s.roster = roster.New(roster.Options{
 		Self:       self,
 		Seeds:      s.seeds,
@@ -217,22 +217,22 @@
 	cfg := budget.DefaultConfig()
 	cfg.Self = budget.Peer{ID: s.settings.Instance.ID, Incarnation: s.incarnation}
 	cfg.Pages = 1
-	cfg.Home = s.ownerOf
-	cfg.HomeHorizon = s.settings.Budgets.Hold.Std()
+	cfg.Owner = s.ownerOf
+	cfg.OwnerHorizon = s.settings.Budgets.Hold.Std()
 	cfg.RefillBelow = s.settings.Budgets.Refill
 	cfg.EntryHorizon = entryHorizon
-	cfg.EntryLeast = entryMinRequests
+	cfg.EntryMinRequests = entryMinRequests
 	cfg.RateWindow = 10 * time.Second
 	cfg.Surplus = 0.25
 	cfg.HeldRequests = 1
 	cfg.LowRequests = 0.5
 	cfg.ScarceWithin = s.settings.Budgets.ScarceWithin.Std()
 	cfg.Routers = s.drawingRouters
-	cfg.StarterShare = initialDrawShare
-	cfg.TailShare = tailShare
-	cfg.TailTime = tailTime
+	cfg.InitialShare = initialDrawShare
+	cfg.FinalReserveShare = finalReserveShare
+	cfg.FinalReserveTime = finalReserveTime
 	cfg.ScarceHorizon = scarceHorizon
-	cfg.CheckEvery = 500 * time.Millisecond
+	cfg.LookupInterval = 500 * time.Millisecond
 	cfg.DrawSpacing = drawBatchInterval
 	cfg.PageSpacing = pageWriteInterval
 	cfg.DrawTimeout = drawTimeout
