--- a/engine/engine.go
+++ b/engine/engine.go
@@ -176,8 +176,9 @@
 
 // ReadBody reads the complete body of a plain service's response. A body that is
 // delimited only by the close of the connection counts as truncated, because a server
-// that crashes halfway closes the connection too. The caller would otherwise get the partial body
-// with a Content-Length, and again at each retry of a request that runs at most once.
+// that crashes halfway closes the connection too. The caller would otherwise get the
+// partial body with a Content-Length, and again at each retry of a request that runs at
+// most once.
 func (r *Response) ReadBody(ctx context.Context) ([]byte, *Failure) {
 	if !framing.Proved(r.http) {
 		return nil, transportFailure(ctx, errUnframed, true)
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -9,7 +9,8 @@
 	"errors"
 )
 
-// maxEvent bounds the size of one event in bytes; a stream with a larger one is aborted.
+// maxEvent bounds the size of an incomplete event in bytes; a server that exceeds it fails the
+// attempt.
 const maxEvent = 1 << 20
 
 // Batch is a sequence of whole events.
--- a/filter/filter.go
+++ b/filter/filter.go
@@ -2,9 +2,9 @@
 // deduplicate, limit, reserve, forward.
 //
 // Each filter is a separate package with a constructor New(next, ...). A filter processes
-// the request, calls the next filter, and completes its work when that returns. After the
-// response, filters thus run in reverse order: the billing record is written and then the
-// reservation is settled.
+// the request, calls the next filter, and completes its work when that returns, so the
+// filters complete in reverse order. Settling is the exception: deduplicate calls the
+// Settle function that reserve has set, after the billing record is written.
 package filter
 
 import (
--- a/filter/limit/limit.go
+++ b/filter/limit/limit.go
@@ -65,7 +65,7 @@
 }
 
 // combineRows returns the sum of the rows' limits, because an account's limits for a target
-// apply to all sites together. If one site has no limit, the sum has none.
+// apply to all sites together. A site without one of the limits lifts that limit only.
 func combineRows(rows map[string]table.Row, x *filter.Exchange) (table.Row, string) {
 	var sum table.Row
 	unlimitedInFlight, unlimitedRate, unlimitedTokens := len(rows) == 0, len(rows) == 0, len(rows) == 0
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -15,7 +15,8 @@
 	// codeHeader carries gaplink's result code in responses that the router generates itself.
 	codeHeader = "Gaplink-Code"
 	// maxBufferedAnswer is the size in bytes up to which a plain response is read in full
-	// before any of it is forwarded, so that a truncated one can be retried.
+	// before any of it is forwarded, so that a truncated one can be replaced by the response of
+	// another server or by an error response.
 	maxBufferedAnswer = 1 << 20
 )
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -19,8 +19,8 @@
 	// sharedConnectionFraction is the fraction of a server's connections that is divided
 	// evenly among the routers; the rest absorbs uneven load.
 	sharedConnectionFraction = 0.9
-	// minConnectionFraction is the fraction of a server's connections that any single router
-	// may use.
+	// minConnectionFraction is the lower bound on the share of one router, as a fraction of the
+	// connections that sharedConnectionFraction leaves.
 	minConnectionFraction = 0.1
 )
 
--- a/gateway/identity.go
+++ b/gateway/identity.go
@@ -8,8 +8,8 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// poisonStatus returns what the fleet knows of the request as a suspected poison request, one
-// under which servers crash.
+// poisonStatus returns the crash detection of the request, which tracks whether servers crash
+// while running it (a poison request).
 func (c *call) poisonStatus() *verdicts.Request {
 	if c.cachedPoisonStatus == nil {
 		c.cachedPoisonStatus = c.g.Verdicts.Request(c.identity)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -249,12 +249,12 @@
 	return c.route.Kind == catalog.Stream && answer.StatusCode == http.StatusOK && mediaType(answer.Header) == c.stream.mediaType
 }
 
-// endStream ends the stream for the caller if the end of the server's response is verified as
-// far as the reply's framing claims. A stream that began at a server with framing and
-// continued at one without has no verified end and is treated as truncated.
-func (a *attempt) endStream(ctx context.Context, answer *upstream.Answer, joinErr error, complete bool) disposition {
-	if joinErr != nil { // the segment ended, but not where the caller's stream ends
-		return a.endBroken(ctx, joinErr)
+// endStream ends the stream for the caller. A reply with framing of its own is ended only if
+// the end of the server's response was verified (complete). A stream that began at a server
+// with framing and continued at one without has no verified end and is treated as truncated.
+func (a *attempt) endStream(ctx context.Context, answer *upstream.Answer, endErr error, complete bool) disposition {
+	if endErr != nil { // the segment ended inside an event, or not where the caller's stream ends
+		return a.endBroken(ctx, endErr)
 	}
 	if !complete && a.record.events == 0 { // no event, and nothing shows that there was none
 		return a.endBroken(ctx, upstream.ErrUnframed)
--- a/gateway/unobserved_test.go
+++ b/gateway/unobserved_test.go
@@ -56,7 +56,7 @@
 		isLast: true,
 	}
 	if v := a.run(context.Background()); v != failed || a.outcomeLabel != "unsigned" {
-		t.Fatalf("verdict %d, %s", v, a.outcomeText())
+		t.Fatalf("disposition %d, %s", v, a.outcomeText())
 	}
 	if a.unobserved != 1 {
 		t.Errorf("%d unobserved attempts, want 1", a.unobserved)
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -22,15 +22,15 @@
 	// the prompt again, which costs that server's time and is late anyway, so only a server
 	// that seems to have failed is abandoned: most late first events are due to large prompts.
 	streamSilenceTimeoutShare = 2.0
-	// pauseTimeoutFactor multiplies the route's longest expected pause between two events; a
-	// stream that pauses longer is resumed at another server.
+	// pauseTimeoutFactor multiplies the route's latency objective between two events (Pause); a
+	// stream that pauses longer is resumed at another server if a retry can be reserved.
 	pauseTimeoutFactor = 3
 	// minPauseTimeout is the lower bound on that pause timeout.
 	minPauseTimeout = 600 * time.Millisecond
 )
 
-// watchdog cancels an attempt that makes no progress, as long as the fleet's retry budget
-// allows another one. With a nil timer it never fires.
+// watchdog cancels an attempt that makes no progress, if the router's retry budget for the
+// service and the account's token budget allow another one. With a nil timer it never fires.
 type watchdog struct {
 	mu           sync.Mutex
 	stopped      bool
--- a/gateway/watchdog_test.go
+++ b/gateway/watchdog_test.go
@@ -29,7 +29,7 @@
 	return ctx, a.startWatchdog(cancel)
 }
 
-// Covers servers that slow down together and exhaust the fleet's retry budget. Streams that
+// Covers servers that slow down together and exhaust the router's retry budget. Streams that
 // pause beyond their timeout must then continue, since they cannot be retried; in a scenario
 // run one was cut midway while its server was still working.
 func TestStreamIsNotCutWithoutRetryBudget(t *testing.T) {
--- a/placement/interval.go
+++ b/placement/interval.go
@@ -19,8 +19,8 @@
 	// or by a large batch.
 	intervalQuantile = 0.05
 	// intervalGain is the step of the estimate per event, as a share of the estimate:
-	// it falls within about ten events and rises within about a hundred,
-	// which are a few streams.
+	// it falls within about ten events and rises within about a hundred, which are a
+	// few streams.
 	intervalGain = 0.05
 	// fastFactor is how far above the median of its service a server's event interval
 	// may be for the server to count as fast. Smaller differences can come from the
--- a/placement/interval_test.go
+++ b/placement/interval_test.go
@@ -11,7 +11,7 @@
 // These tests simulate two kinds of streams on servers of which a third are slower
 // by a third: many short prompts with long answers, and fewer prompts ten times as
 // long, whose processing delays the other streams. The figures are in proportion to
-// those of routers in replayed load: 13 ms and 17 ms between two events, one event
+// those of routers on simulated days: 13 ms and 17 ms between two events, one event
 // in five late by some hundred milliseconds.
 const (
 	fastGap, slowGap = 13 * time.Millisecond, 17 * time.Millisecond
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -10,7 +10,7 @@
 const (
 	// Neutral says nothing about the server: the caller disconnected.
 	Neutral Outcome = iota
-	// Answered: the server returned a successful response.
+	// Answered: the server returned a response with a status below 500.
 	Answered
 	// Failed: the server returned an error, broke off its response or timed out.
 	Failed
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -26,9 +26,8 @@
 	// of a server's failure rate; about the last ten requests count.
 	failureRateWeight = 0.1
 	// failureRateMargin is how far a server's failure rate may be above twice the
-	// mean of its service before the server is avoided. Plain
-	// services, which are not engines, answer a part of their requests with errors
-	// of their own.
+	// mean of its service before the server is avoided. Plain services, which are not
+	// engines, answer a part of their requests with errors of their own.
 	failureRateMargin = 0.25
 	// maxPendingTokens is the number of own unprocessed prompt tokens up to which
 	// a server is not overloaded for its prefixes: about a second of engine time.
@@ -158,7 +157,7 @@
 	f.groupOf(s.Service).observe(s)
 }
 
-// lookup returns the state lookup a process, or nil if it is not registered or another
+// lookup returns the state of a process, or nil if it is not registered or another
 // process runs under its id.
 func (f *Servers) lookup(in Incarnation) *state {
 	s, ok := f.byID[in.ID]
@@ -320,9 +319,9 @@
 	return pickByPrefix(candidates, q.Affinity)
 }
 
-// candidates returns the eligible servers whose failure rate is not far above the
-// mean, or all eligible servers if there is none. Ejected servers are never
-// returned, since a request sent to an unreachable server would only wait.
+// candidates returns the eligible servers whose failure rate is not far above the mean,
+// or all eligible servers if there is none: a failing server is better than none. Ejected
+// servers are never returned, since a request sent to an unreachable server would only wait.
 func (f *Servers) candidates(q Query) []*state {
 	var up []*state
 	var sum float64
--- a/route/route.go
+++ b/route/route.go
@@ -242,8 +242,8 @@
 }
 
 // Finished counts the end of an attempt. Consecutive failures eject the server
-// temporarily; after an ejection, one success resets its failure count and the
-// duration of its next ejection.
+// temporarily; after that each further failure ejects it again, for longer, until a
+// success resets the failure count and the duration of the ejection.
 func (r *Routes) Finished(now time.Time, id string, failed bool) {
 	s, ok := r.servers[id]
 	if !ok {
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -66,7 +66,7 @@
 // are not reused.
 func (c *conn) readResponse(request *http.Request) (*http.Response, error) {
 	if start, err := c.reader.Peek(len(http10Prefix)); err != nil || string(start) != http10Prefix {
-		return http.ReadResponse(c.reader, request) // reports the error of a shorter read
+		return http.ReadResponse(c.reader, request) // not HTTP/1.0, or too short to tell: ReadResponse reports the error
 	}
 	head, err := c.readHTTP10Head()
 	if err != nil {
