--- a/cli/ctl/ctl.go
+++ b/cli/ctl/ctl.go
@@ -108,7 +108,7 @@
 	return out.Flush()
 }
 
-// printLine prints one formatted printLine.
+// printLine prints one formatted line.
 func printLine(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format+"\n", args...)
 }
--- a/controller/limits/commands.go
+++ b/controller/limits/commands.go
@@ -15,7 +15,7 @@
 	PerSecond float64 `json:"per_second"`
 	// Owners are the routers that grant permits for the server.
 	Owners []string `json:"owners"`
-	// NamedSecondsAgo is the time since the answer that named the limit was received.
+	// NamedSecondsAgo is the time since the answer that named the limit began to arrive.
 	NamedSecondsAgo float64 `json:"named_seconds_ago"`
 }
 
--- a/controller/verdicts/persist.go
+++ b/controller/verdicts/persist.go
@@ -35,8 +35,8 @@
 	lifted bool
 }
 
-// storedVerdict is the storedVerdict form of a verdict. Its times are wall clock times: errors of a
-// few seconds do not matter to blocks of a minute and more.
+// storedVerdict is the stored form of a verdict. Its times are wall clock times: errors of a few
+// seconds do not matter to blocks of a minute and more.
 type storedVerdict struct {
 	Number  int      `json:"number"`
 	Service string   `json:"service"`
--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -335,8 +335,8 @@
 	})
 }
 
-// Guards against a log that repeats or misses reports, and against routers that receive
-// reports only from a router that itself received them.
+// Guards against a log that repeats or misses reports, or that leaves out those which its
+// router received from another one.
 func TestSinceReturnsNewReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, reader := newNetwork().join(t.Context(), "r0", nil), verdicts.New(verdicts.Options{Log: zap.NewNop()})
--- a/limiter/rate.go
+++ b/limiter/rate.go
@@ -85,7 +85,7 @@
 
 // Split returns the shares of a rate in a fleet of a given size. Several owners have a whole
 // number of requests a second each, the fewest that use enough of the rate. This way few
-// permits are lost with one owner, and where routers know different parts of the fleet, the
+// permits are lost if one owner fails, and where routers know different parts of the fleet, the
 // sum of what they grant is near the rate. A low rate has one owner.
 func (r Rate) Split(routers int) Split {
 	routers = min(max(routers, minRouters), MaxOwners)
--- a/limiter/report.go
+++ b/limiter/report.go
@@ -11,8 +11,8 @@
 	Server placement.Incarnation
 	Named  bool
 	Rate   Rate
-	// Age is the time since the answer was received, and ResponseTime the time from sending
-	// the request to receiving its answer.
+	// Age is the time since the answer began to arrive, and ResponseTime the time from
+	// sending the request until then.
 	Age, ResponseTime time.Duration
 }
 
--- a/link/shedder.go
+++ b/link/shedder.go
@@ -16,9 +16,9 @@
 // Shedder decides when a router with a congested link sheds new connections: for a while the
 // load balancer gets the answer "not ready", so that callers go to other routers.
 //
-// Rejecting requests instead does not help: their bytes have crossed the link by then, and
-// retries of the callers reached the next router when it was congested too. The zero value is
-// ready to use. A Shedder is not safe for concurrent use.
+// Rejecting requests instead was measured and does not help: their bytes have crossed the link by
+// then, and retries of the callers reached the next router when it was congested too. The zero
+// value is ready to use. A Shedder is not safe for concurrent use.
 type Shedder struct {
 	congested bool
 	shedUntil time.Time
--- a/poison/evaluate.go
+++ b/poison/evaluate.go
@@ -20,8 +20,8 @@
 	minAmbiguousCrashes = 5
 	// correlationWindow is how long after one server of a failure domain another may crash
 	// from the same cause, and failoverWindow how soon a request that lost its server reaches
-	// the next one if it is retried at once. Without the two, with minAmbiguousCrashes for
-	// crashes that are not independent, 3 of those requests were blocked.
+	// the next one if it is retried at once. With minAmbiguousCrashes as the threshold for
+	// dependent crashes in place of these windows, 3 of the 320,000 requests were blocked.
 	correlationWindow = time.Second
 	failoverWindow    = 100 * time.Millisecond
 	// duplicateWindow is the time within which crashes reported for a server without a start
--- a/poison/expire.go
+++ b/poison/expire.go
@@ -18,7 +18,8 @@
 	// crash instead of three.
 	verdictRetention = 24 * time.Hour
 	// maxCrashes and maxRequests bound the memory: with 64 requests per crash, 2 MB
-	// (TestMemoryIsBounded). The records with the least evidence are evicted first.
+	// (TestMemoryIsBounded). The oldest crashes, and the requests with the least evidence,
+	// are dropped first.
 	maxCrashes  = 512
 	maxRequests = 4096
 )
@@ -65,7 +66,7 @@
 
 // evictRequests makes room for new requests. It evicts an eighth of them at once, so that they
 // are not sorted at each insertion: first those without a verdict, then those with fewer
-// crashes, then those whose last crash is longest ago.
+// crashes, then those whose record changed longest ago.
 func (t *Table) evictRequests() {
 	all := slices.Collect(maps.Keys(t.requests))
 	slices.SortFunc(all, func(a, b Fingerprint) int { return compareEvictionOrder(t.requests[a], t.requests[b]) })
--- a/poison/table.go
+++ b/poison/table.go
@@ -10,7 +10,7 @@
 // blockDurations are how long the first and the second verdict block a request. A wrong
 // verdict must expire soon without an operator, since it may block a request of many callers,
 // and a later version of a model may be able to run it. After each block one trial run is
-// admitted, and one more crash is enough for the next verdict. The third verdict blockDurations until
+// admitted, and one more crash is enough for the next verdict. The third verdict blocks until
 // it is lifted, so that a request crashes only two servers more after the first verdict.
 var blockDurations = []time.Duration{time.Minute, time.Hour}
 
@@ -55,7 +55,7 @@
 	until            time.Time
 	service          string
 	servers          []string
-	// trialAt is when a trialAt run was last admitted.
+	// trialAt is when a trial run was last admitted, after a block had expired.
 	trialAt time.Time
 }
 
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// reportInterval is the time reportInterval two reports: that reportInterval two attempts of a caller.
+// reportInterval is the time between two reports: that between two attempts of a caller.
 const reportInterval = 600 * time.Millisecond
 
 func (f *table) expectBlocked(body string, want bool) {
--- a/server/cold.go
+++ b/server/cold.go
@@ -11,9 +11,10 @@
 	"github.com/gaplink/gaplink/limiter"
 )
 
-// rosterSettleTime is how long after its start a process neither grants nor requests permits. Its
-// list of routers may be incomplete: lists may be seconds old and are read again three seconds
-// after the start. It also doesn't know which permits its predecessor granted.
+// rosterSettleTime is how long after its start a process grants no permits and asks no fallback
+// router for one; it does ask the owners that it knows. Its list of routers may be incomplete:
+// lists may be seconds old and are read again three seconds after the start. It also doesn't know
+// which permits its predecessor granted.
 const rosterSettleTime = 4 * time.Second
 
 // rosterSettled reports whether this process has run long enough to know the other routers.
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,8 +8,8 @@
 	"github.com/gaplink/gaplink/settings"
 )
 
-// Reload applies settings that were read again. Changed listen addresses take effect only after a
-// restart. If err is not nil, the current settings are kept.
+// Reload applies settings that were read again. Changed listen addresses and a changed address of
+// the store take effect only after a restart. If err is not nil, the current settings are kept.
 func (s *Server) Reload(next settings.Gateway, err error) {
 	if err != nil {
 		s.log.Error("invalid settings; keeping the current ones", zap.Error(err))
--- a/server/server.go
+++ b/server/server.go
@@ -204,9 +204,9 @@
 	return s.roster.Size()
 }
 
-// largeFleet reports whether the fleet is, or may be, so largeFleet that a few routers access the store
+// largeFleet reports whether the fleet is, or may be, so large that a few routers access the store
 // on behalf of the others. In a small fleet each router draws budgets from the store for itself, so
-// that little is lost when one fails; in a largeFleet fleet most conditional updates of the same page
+// that little is lost when one fails; in a large fleet most conditional updates of the same page
 // would conflict.
 func (s *Server) largeFleet() bool { return s.roster.IsLarge() }
 
--- a/server/sockets.go
+++ b/server/sockets.go
@@ -42,7 +42,8 @@
 	return limit
 }
 
-// aboveHighWatermark reports whether too many caller connections are open to accept more.
+// aboveHighWatermark reports whether so many caller connections are open that the router should
+// receive no new ones.
 func (s *Server) aboveHighWatermark() bool {
 	return float64(s.callerListener.Open()) >= callerHighWatermark*float64(s.callerLimit)
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -80,11 +80,11 @@
 
 // GatewayBudgets holds the settings of the token budgets.
 type GatewayBudgets struct {
-	// Hold is the amount of tokens that a router reserves ahead, as a time at current
+	// Hold is the amount of tokens that a router holds ahead, as a time at current
 	// demand. A longer time bridges longer store outages; a shorter one strands fewer
 	// tokens when routers crash.
 	Hold Duration `toml:"hold" validate:"min=100000000"`
-	// Refill is the fraction of Hold below which a router reserves more tokens.
+	// Refill is the fraction of Hold below which a router draws more tokens.
 	Refill float64 `toml:"refill" validate:"min=0,max=1"`
 	// ScarceWithin is how long the rest of a budget must last, at the fleet's demand,
 	// for routers to hold half of it. A shorter time lets routers hold more of scarce
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -86,11 +86,11 @@
 	// Pages is the number of store objects that hold the budgets. It must be the same
 	// on all instances.
 	Pages int `toml:"pages" validate:"min=1,max=4096"`
-	// Hold is the amount of tokens that a budget's owner reserves ahead, as a time at
+	// Hold is the amount of tokens that a budget's owner holds ahead, as a time at
 	// current demand. A longer time bridges longer store outages (fewer false
 	// refusals); a shorter one strands fewer tokens when an owner crashes.
 	Hold Duration `toml:"hold" validate:"min=100000000"`
-	// EntryHold is the amount that an entry router reserves ahead, also as a time.
+	// EntryHold is the amount that an entry router holds ahead, also as a time.
 	EntryHold Duration `toml:"entry_hold" validate:"min=10000000"`
 }
 
--- a/sockets/listener.go
+++ b/sockets/listener.go
@@ -43,9 +43,9 @@
 	return b
 }
 
-// NewEvictingListener is like Bound, but a listener at its limit closes the connection that has been idle
-// for the longest time, at least a second, to accept another one: a peer that failed without closing
-// its connections leaves them open.
+// NewEvictingListener is like NewListener, but a listener at its limit closes the connection that
+// has been idle for the longest time, at least a second, to accept another one: a peer that failed
+// without closing its connections leaves them open.
 func NewEvictingListener(l net.Listener, maxOpen int) *Listener {
 	b := NewListener(l, maxOpen)
 	b.evicts = true
--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,5 +1,4 @@
-// Package wait provides a sleep that ends with its context. gaplink's processes use it instead of
-// a timer of their own.
+// Package wait provides a sleep that ends with its context.
 package wait
 
 import (
