--- a/budget/agent.go
+++ b/budget/agent.go
@@ -7,26 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// freeDivisor limits a draw to one part in freeDivisor of the free tokens beyond what is
-// needed at once; a larger divisor fragments less near the end of the budget.
+// freeDivisor limits a draw to one part in freeDivisor of the free tokens, or to what is
+// needed at once if that is more; a larger divisor fragments less near the end of the
+// budget.
 const freeDivisor = 4
 
 // Agent manages the budgets of one router: as entry router for its own callers and as owner
 // for some budgets. It is not safe for concurrent use.
 type Agent struct {
-	cfg      Config
-	balances map[string]*accountBalance
-	active   []*accountBalance // the account balances that Tick visits, in a fixed order
-	pages    map[int]*pageState
-	effects  []Effect
-	token    uint64
-	writes   int64
-	closing  bool
-	grants   bool // this router has granted tokens to others as their owner
-	sealed   bool
-	fenced   map[string]bool // incarnations whose messages are void
-	limits   map[string]Limit
-	seed     uint64 // differs between most processes
+	cfg     Config
+	budgets map[string]*budgetState
+	active  []*budgetState // the budgets that Tick visits, in a fixed order
+	pages   map[int]*pageState
+	effects []Effect
+	token   uint64
+	writes  int64
+	closing bool
+	grants  bool // this router has granted tokens to others as their owner
+	sealed  bool
+	fenced  map[string]bool // incarnations whose messages are void
+	limits  map[string]Limit
+	seed    uint64 // differs between most processes
 }
 
 // seedCount is the number of distinct seeds, kept small because quasiRandom spreads only
@@ -35,7 +36,7 @@
 
 // NewAgent returns an agent that holds no tokens.
 func NewAgent(cfg Config) *Agent {
-	return &Agent{cfg: cfg, balances: map[string]*accountBalance{}, pages: map[int]*pageState{}, fenced: map[string]bool{}, limits: map[string]Limit{}, seed: xxhash.Sum64String(cfg.Self.Incarnation) % seedCount}
+	return &Agent{cfg: cfg, budgets: map[string]*budgetState{}, pages: map[int]*pageState{}, fenced: map[string]bool{}, limits: map[string]Limit{}, seed: xxhash.Sum64String(cfg.Self.Incarnation) % seedCount}
 }
 
 // takeEffects returns and clears the collected effects.
@@ -47,11 +48,11 @@
 
 func (a *Agent) emit(e Effect) { a.effects = append(a.effects, e) }
 
-func (a *Agent) accountBalance(id string) *accountBalance {
-	p, ok := a.balances[id]
+func (a *Agent) budgetState(id string) *budgetState {
+	p, ok := a.budgets[id]
 	if !ok {
-		p = newAccountBalance(id, PageOf(id, a.cfg.Pages), a.cfg.RateWindow)
-		a.balances[id] = p
+		p = newBudgetState(id, PageOf(id, a.cfg.Pages), a.cfg.RateWindow)
+		a.budgets[id] = p
 	}
 	if !p.active {
 		p.active = true
@@ -68,7 +69,7 @@
 // later Resolve effect with that number gives the answer.
 func (a *Agent) Reserve(now time.Time, id string, need int64) (token uint64, granted bool, effects []Effect) {
 	a.token++
-	p := a.accountBalance(id)
+	p := a.budgetState(id)
 	p.recordUse(now, need)
 	p.demand.add(now, need)
 	a.trackFinalReserve(now, p)
@@ -86,7 +87,7 @@
 // TryReserve reserves need tokens from the usable balance; it neither waits nor draws
 // more.
 func (a *Agent) TryReserve(now time.Time, id string, need int64) bool {
-	p := a.accountBalance(id)
+	p := a.budgetState(id)
 	a.refreshEscrow(now, p)
 	if !p.reserve(need) {
 		return false
@@ -97,12 +98,12 @@
 
 // Cancel withdraws a reservation that is still waiting.
 func (a *Agent) Cancel(id string, token uint64) {
-	a.accountBalance(id).removeWaiter(token)
+	a.budgetState(id).removeWaiter(token)
 }
 
 // Settle ends a reservation of reserved tokens of which actual were spent.
 func (a *Agent) Settle(now time.Time, id string, reserved, actual int64) []Effect {
-	p := a.accountBalance(id)
+	p := a.budgetState(id)
 	p.reserved -= reserved
 	p.balance += reserved - actual
 	p.demand.add(now, actual-reserved) // the reservation was counted at its worst case
@@ -119,7 +120,7 @@
 	if a.fenced[m.From.Incarnation] {
 		return nil
 	}
-	p := a.accountBalance(m.Budget)
+	p := a.budgetState(m.Budget)
 	if moved := a.credit(p, m); m.Kind == Back || m.Kind == Draw {
 		p.demand.add(now, -moved) // the tokens were counted when they were granted
 	}
@@ -153,7 +154,7 @@
 
 // handleDraw queues a peer's draw, or redirects it to the successor if this router is
 // closing.
-func (a *Agent) handleDraw(now time.Time, p *accountBalance, m Message) {
+func (a *Agent) handleDraw(now time.Time, p *budgetState, m Message) {
 	d := draw{peer: m.From, token: m.Token, need: m.Need, want: m.Want}
 	switch {
 	case a.closing:
@@ -174,7 +175,7 @@
 }
 
 // credit adds the tokens that the message newly moves here, and returns their number.
-func (a *Agent) credit(p *accountBalance, m Message) int64 {
+func (a *Agent) credit(p *budgetState, m Message) int64 {
 	if m.To.Incarnation == "" || m.Total <= p.received[m.From.Incarnation] {
 		return 0
 	}
@@ -185,7 +186,7 @@
 }
 
 // handleGrant handles the owner's answer to a draw.
-func (a *Agent) handleGrant(now time.Time, p *accountBalance, m Message) {
+func (a *Agent) handleGrant(now time.Time, p *budgetState, m Message) {
 	p.scarce = m.Scarce
 	p.owner = m.From
 	if p.unreachableOwner == m.From.ID {
@@ -210,7 +211,7 @@
 // certainly did not get it and its tokens are taken back, unless the receiver was fenced,
 // for then they were reclaimed with it.
 func (a *Agent) Undelivered(now time.Time, m Message, certain bool) []Effect {
-	p := a.accountBalance(m.Budget)
+	p := a.budgetState(m.Budget)
 	if certain && m.Delta > 0 && !a.fenced[m.To.Incarnation] && p.sent[m.To.Incarnation] == m.Total {
 		p.sent[m.To.Incarnation] -= m.Delta
 		p.balance += m.Delta
@@ -239,9 +240,9 @@
 		return nil
 	}
 	for _, p := range slices.Clone(a.active) {
-		a.tickBalance(now, p)
+		a.tickBudget(now, p)
 	}
-	a.active = slices.DeleteFunc(a.active, func(p *accountBalance) bool {
+	a.active = slices.DeleteFunc(a.active, func(p *budgetState) bool {
 		p.active = a.startingUp(now) || !p.idle()
 		return !p.active
 	})
@@ -275,7 +276,7 @@
 	return false
 }
 
-func (a *Agent) tickBalance(now time.Time, p *accountBalance) {
+func (a *Agent) tickBudget(now time.Time, p *budgetState) {
 	a.refreshEscrow(now, p)
 	p.awaitingSuccessor = false
 	if p.drawTimedOut(now, a.cfg.DrawTimeout) {
@@ -314,7 +315,7 @@
 
 // Closed reports whether nothing is held, reserved or being written any more.
 func (a *Agent) Closed() bool {
-	for _, p := range a.balances {
+	for _, p := range a.budgets {
 		if p.balance > 0 || p.reserved != 0 {
 			return false
 		}
--- a/budget/borrow.go
+++ b/budget/borrow.go
@@ -9,8 +9,8 @@
 	// storeSlowAfter is how long a store call may be outstanding before other routers are
 	// asked in parallel: a few times the duration of a call to a healthy store.
 	storeSlowAfter = 60 * time.Millisecond
-	// lendDivisor: a lender gives up to one part in lendDivisor of its usable balance
-	// beyond what the borrower needs.
+	// lendDivisor limits a loan to one part in lendDivisor of the lender's usable balance,
+	// or to what the borrower needs if that is more.
 	lendDivisor = 3
 )
 
@@ -26,22 +26,22 @@
 	failedAt time.Time
 }
 
-// storeSlow reports whether the answer to the account balance's draw is overdue, so that other
+// storeSlow reports whether the answer to the budget's draw is overdue, so that other
 // routers should be asked in the meantime.
-func (a *Agent) storeSlow(now time.Time, p *accountBalance) bool {
+func (a *Agent) storeSlow(now time.Time, p *budgetState) bool {
 	ps := a.pages[p.page]
 	return ps != nil && (ps.reading || ps.writing) && now.Sub(ps.calledAt) >= storeSlowAfter
 }
 
 // storeUnavailable reports whether waiting for the store is pointless: it does not answer
-// this router, or its last call for the account balance's page failed.
-func (a *Agent) storeUnavailable(p *accountBalance) bool {
+// this router, or its last call for the budget's page failed.
+func (a *Agent) storeUnavailable(p *budgetState) bool {
 	ps := a.pages[p.page]
 	return ps != nil && ps.failed || a.cfg.StoreLost != nil && a.cfg.StoreLost()
 }
 
 // borrow asks the next router; it returns false if there is none left to ask.
-func (a *Agent) borrow(now time.Time, p *accountBalance) bool {
+func (a *Agent) borrow(now time.Time, p *budgetState) bool {
 	b := &p.borrowing
 	if b.from != "" {
 		return true
@@ -64,7 +64,7 @@
 	return false
 }
 
-func (a *Agent) requestLoan(now time.Time, p *accountBalance, id string) {
+func (a *Agent) requestLoan(now time.Time, p *budgetState, id string) {
 	b := &p.borrowing
 	if b.asked == nil {
 		b.asked = map[string]bool{}
@@ -88,7 +88,7 @@
 // rest; with all usable tokens if they are fewer, since the router may get the rest from
 // others; or with a refusal. Tokens that are only held in escrow are released first, by a
 // write of the page, if the store answers.
-func (a *Agent) lend(now time.Time, p *accountBalance, m Message) {
+func (a *Agent) lend(now time.Time, p *budgetState, m Message) {
 	if !a.closing && p.usable() < m.Need && p.escrow > 0 && !a.storeUnavailable(p) {
 		p.loans = append(p.loans, loanRequest{message: m, at: now})
 		a.queue(now, pageOp{budget: p.id, awaited: true})
@@ -97,7 +97,7 @@
 	a.answerLoan(p, m)
 }
 
-func (a *Agent) answerLoan(p *accountBalance, m Message) {
+func (a *Agent) answerLoan(p *budgetState, m Message) {
 	amount := int64(0)
 	if !a.closing && p.usable() > 0 {
 		amount = max(min(m.Need, p.usable()), min(m.Want, p.usable()/lendDivisor))
@@ -111,7 +111,7 @@
 
 // serveLoans answers the loan requests that the balance now covers, and those that have
 // waited too long.
-func (a *Agent) serveLoans(now time.Time, p *accountBalance) {
+func (a *Agent) serveLoans(now time.Time, p *budgetState) {
 	var waiting []loanRequest
 	for _, l := range p.loans {
 		if p.escrow > 0 && p.usable() < l.message.Need && now.Sub(l.at) < a.cfg.LenderTimeout/2 {
@@ -124,7 +124,7 @@
 }
 
 // finishLoan ends the request to a lender. The lent tokens are already in the balance.
-func (p *accountBalance) finishLoan(from string) {
+func (p *budgetState) finishLoan(from string) {
 	if p.borrowing.from == from {
 		p.borrowing.from = ""
 	}
@@ -135,6 +135,6 @@
 
 // loanTimedOut reports whether the lender has left the request unanswered for at least
 // timeout.
-func (p *accountBalance) loanTimedOut(now time.Time, timeout time.Duration) bool {
+func (p *budgetState) loanTimedOut(now time.Time, timeout time.Duration) bool {
 	return p.borrowing.from != "" && now.Sub(p.borrowing.at) >= timeout
 }
--- a/budget/account_balance.go
+++ b/budget/budget_state.go
@@ -54,8 +54,8 @@
 	lookupFailed // the store did not answer
 )
 
-// accountBalance is the state of one budget at this router.
-type accountBalance struct {
+// budgetState is the state of one budget at this router.
+type budgetState struct {
 	id                string
 	page              int
 	balance           int64
@@ -85,29 +85,29 @@
 	finalReserveSince time.Time // when only the final reserve was left; zero: more is left
 	meanNeed          float64   // mean tokens per reservation, exponentially weighted by count
 	lastUse           time.Time
-	active            bool // in the agent's list of active account balances
+	active            bool // in the agent's list of active budgets
 }
 
-func newAccountBalance(id string, page int, window time.Duration) *accountBalance {
-	return &accountBalance{id: id, page: page, demand: rate{window: window}, skippedOwners: map[string]time.Time{}, sent: map[string]int64{}, received: map[string]int64{}, holders: map[string]*holder{}}
+func newBudgetState(id string, page int, window time.Duration) *budgetState {
+	return &budgetState{id: id, page: page, demand: rate{window: window}, skippedOwners: map[string]time.Time{}, sent: map[string]int64{}, received: map[string]int64{}, holders: map[string]*holder{}}
 }
 
 // recordUse records that a request of need tokens asked for the budget.
-func (p *accountBalance) recordUse(now time.Time, need int64) {
+func (p *budgetState) recordUse(now time.Time, need int64) {
 	p.lastUse = now
 	p.meanNeed += (float64(need) - p.meanNeed) / needWindow
 }
 
 // expectedDemand returns the tokens that the current demand takes in d.
-func (p *accountBalance) expectedDemand(now time.Time, d time.Duration) int64 {
+func (p *budgetState) expectedDemand(now time.Time, d time.Duration) int64 {
 	return p.demand.expected(now, d)
 }
 
 // shortfall returns the tokens asked for and not covered by the usable balance.
-func (p *accountBalance) shortfall() int64 { return p.requested() - p.usable() }
+func (p *budgetState) shortfall() int64 { return p.requested() - p.usable() }
 
 // requested returns the tokens that waiting reservations, draws and loans ask for.
-func (p *accountBalance) requested() int64 {
+func (p *budgetState) requested() int64 {
 	var sum int64
 	for _, w := range p.waiters {
 		sum += w.need
@@ -123,7 +123,7 @@
 
 // drawable returns the tokens to request from the store: the shortfall without the
 // reservations that only other routers can serve.
-func (p *accountBalance) drawable() int64 {
+func (p *budgetState) drawable() int64 {
 	sum := p.shortfall()
 	for _, w := range p.waiters {
 		if w.peersOnly {
@@ -134,16 +134,16 @@
 }
 
 // idle reports whether nothing is held, awaited or asked for.
-func (p *accountBalance) idle() bool {
+func (p *budgetState) idle() bool {
 	return p.balance <= 0 && p.reserved == 0 && !p.waiting() && len(p.loans) == 0 && !p.drawPending() && !p.recall.active && p.borrowing.from == "" && p.lookup != lookupRunning
 }
 
-func (p *accountBalance) waiting() bool {
+func (p *budgetState) waiting() bool {
 	return len(p.waiters)+len(p.draws) > 0
 }
 
 // removeWaiter removes a waiting reservation.
-func (p *accountBalance) removeWaiter(token uint64) (waiter, bool) {
+func (p *budgetState) removeWaiter(token uint64) (waiter, bool) {
 	for i, w := range p.waiters {
 		if w.token == token {
 			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
@@ -154,7 +154,7 @@
 }
 
 // drawPending reports whether a draw sent to the owner is unanswered.
-func (p *accountBalance) drawPending() bool {
+func (p *budgetState) drawPending() bool {
 	for _, w := range p.waiters {
 		if !w.drawSentAt.IsZero() {
 			return true
@@ -164,7 +164,7 @@
 }
 
 // resetDraws marks all unanswered draws as not sent, so that they are sent again.
-func (p *accountBalance) resetDraws() {
+func (p *budgetState) resetDraws() {
 	for i := range p.waiters {
 		p.waiters[i].drawSentAt = time.Time{}
 	}
@@ -173,7 +173,7 @@
 
 // resetDraw marks one draw that did not reach the owner as not sent: that of a waiting
 // reservation, or the prefetch if token is 0.
-func (p *accountBalance) resetDraw(token uint64) {
+func (p *budgetState) resetDraw(token uint64) {
 	if token == 0 {
 		p.prefetchSentAt = time.Time{}
 		return
@@ -186,7 +186,7 @@
 }
 
 // drawTimedOut reports whether the owner has left a draw unanswered for at least timeout.
-func (p *accountBalance) drawTimedOut(now time.Time, timeout time.Duration) bool {
+func (p *budgetState) drawTimedOut(now time.Time, timeout time.Duration) bool {
 	for _, w := range p.waiters {
 		if !w.drawSentAt.IsZero() && now.Sub(w.drawSentAt) >= timeout {
 			return true
@@ -196,7 +196,7 @@
 }
 
 // recallAnswered records that a holder returned its unused tokens.
-func (p *accountBalance) recallAnswered(incarnation string) {
+func (p *budgetState) recallAnswered(incarnation string) {
 	if h, ok := p.holders[incarnation]; ok {
 		h.recallable = false
 	}
@@ -211,7 +211,7 @@
 
 // finishRecall ends a round. A holder that did not answer is not recalled again until it
 // is granted more; its tokens come back when it resumes.
-func (p *accountBalance) finishRecall() {
+func (p *budgetState) finishRecall() {
 	for incarnation := range p.recall.waiting {
 		if h, ok := p.holders[incarnation]; ok {
 			h.recallable = false
@@ -223,7 +223,7 @@
 
 // reserve reserves need tokens of the balance; it returns false if the usable balance is
 // too small.
-func (p *accountBalance) reserve(need int64) bool {
+func (p *budgetState) reserve(need int64) bool {
 	if p.usable() < need {
 		return false
 	}
@@ -233,7 +233,7 @@
 }
 
 // serveWaiters grants every local reservation that the usable balance covers.
-func (a *Agent) serveWaiters(p *accountBalance) {
+func (a *Agent) serveWaiters(p *budgetState) {
 	kept := p.waiters[:0]
 	for _, w := range p.waiters {
 		if !p.reserve(w.need) {
@@ -246,7 +246,7 @@
 }
 
 // serveDraws grants every peer's draw that the usable balance covers.
-func (a *Agent) serveDraws(now time.Time, p *accountBalance) {
+func (a *Agent) serveDraws(now time.Time, p *budgetState) {
 	kept := p.draws[:0]
 	for _, d := range p.draws {
 		if p.usable() < d.need {
@@ -261,7 +261,7 @@
 // grant moves tokens to the drawing router: what it needs, and more for its expected
 // demand unless tokens are scarce. The granted amount counts as the owner's demand, since
 // most draws are prefetches whose own need is small.
-func (a *Agent) grant(now time.Time, p *accountBalance, d draw) {
+func (a *Agent) grant(now time.Time, p *budgetState, d draw) {
 	amount := d.need
 	if !p.scarce {
 		amount = max(d.need, min(d.want, p.balance/freeDivisor))
@@ -275,7 +275,7 @@
 }
 
 // refuseDraw answers a peer's draw with a cause and no tokens.
-func (a *Agent) refuseDraw(p *accountBalance, d draw, cause Cause) {
+func (a *Agent) refuseDraw(p *budgetState, d draw, cause Cause) {
 	m := a.move(p, Grant, d.peer, 0)
 	m.Token = d.token
 	m.Refused = cause
@@ -284,7 +284,7 @@
 }
 
 // move decrements the balance and returns the message that carries the tokens.
-func (a *Agent) move(p *accountBalance, kind Kind, to Peer, amount int64) Message {
+func (a *Agent) move(p *budgetState, kind Kind, to Peer, amount int64) Message {
 	p.balance -= amount
 	p.sent[to.Incarnation] += amount
 	return Message{
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -89,8 +89,8 @@
 				r.running = append(r.running, need)
 			}
 			delete(n.waiting, key)
-		case budget.RetryOwner:
-			n.perform(r, r.agent.RetryOwner(n.at(r), e.Budget))
+		case budget.AskSuccessor:
+			n.perform(r, r.agent.AskSuccessor(n.at(r), e.Budget))
 		case budget.ReadPage, budget.WritePage:
 			r.storeCalls = append(r.storeCalls, e)
 		}
--- a/budget/entry.go
+++ b/budget/entry.go
@@ -7,12 +7,12 @@
 
 // keepsBuffer reports whether an entry router holds tokens in advance of its requests:
 // while tokens are not scarce, and if it has enough requests for the budget.
-func (a *Agent) keepsBuffer(now time.Time, p *accountBalance) bool {
+func (a *Agent) keepsBuffer(now time.Time, p *budgetState) bool {
 	return !p.scarce && float64(p.expectedDemand(now, a.cfg.EntryHorizon)) >= a.cfg.EntryMinRequests*p.meanNeed
 }
 
 // entryTarget returns how many tokens an entry router should hold of the budget.
-func (a *Agent) entryTarget(now time.Time, p *accountBalance) int64 {
+func (a *Agent) entryTarget(now time.Time, p *budgetState) int64 {
 	if !a.keepsBuffer(now, p) {
 		return 0
 	}
@@ -23,18 +23,20 @@
 // again.
 const skippedOwnerTTL = 500 * time.Millisecond
 
-// skipOwner turns from an owner to its successor.
-func (a *Agent) skipOwner(now time.Time, p *accountBalance, id string) {
+// skipOwner skips an owner that redirected or did not answer for skippedOwnerTTL, and
+// requests AskSuccessor, which sends the unanswered draws to the successor.
+func (a *Agent) skipOwner(now time.Time, p *budgetState, id string) {
 	p.resetDraws()
 	p.skippedOwners[id] = now
 	p.awaitingSuccessor = true
 	a.emit(Suspect{ID: id})
-	a.emit(RetryOwner{Budget: p.id})
+	a.emit(AskSuccessor{Budget: p.id})
 }
 
-// RetryOwner asks the current owner of a budget.
-func (a *Agent) RetryOwner(now time.Time, id string) []Effect {
-	p := a.accountBalance(id)
+// AskSuccessor continues, after an owner was skipped, with the owner that the budget has
+// now.
+func (a *Agent) AskSuccessor(now time.Time, id string) []Effect {
+	p := a.budgetState(id)
 	p.awaitingSuccessor = false
 	a.advance(now, p)
 	return a.takeEffects()
@@ -43,7 +45,7 @@
 // refuseAfterFullRound refuses the waiting requests if the current owner was skipped
 // recently: every router that could be the owner has then been asked. Without it, owners
 // that redirect to each other would do so endlessly.
-func (a *Agent) refuseAfterFullRound(now time.Time, p *accountBalance) bool {
+func (a *Agent) refuseAfterFullRound(now time.Time, p *budgetState) bool {
 	skippedAt, ok := p.skippedOwners[a.cfg.Owner(now, p.id)]
 	if !ok || now.Sub(skippedAt) >= skippedOwnerTTL {
 		return false
@@ -57,14 +59,14 @@
 
 // ownerUnreachable reports whether the last draw did not reach the current owner of a
 // budget.
-func (a *Agent) ownerUnreachable(now time.Time, p *accountBalance) bool {
+func (a *Agent) ownerUnreachable(now time.Time, p *budgetState) bool {
 	return p.unreachableOwner != "" && p.unreachableOwner == a.cfg.Owner(now, p.id)
 }
 
 // sendDraws sends draws for waiting reservations to the owner: one at a time while the
 // router keeps a buffer, since the answer brings more than one needs, or while messages do
 // not reach the owner; otherwise one draw per reservation.
-func (a *Agent) sendDraws(now time.Time, p *accountBalance) {
+func (a *Agent) sendDraws(now time.Time, p *budgetState) {
 	if p.awaitingSuccessor || a.refuseAfterFullRound(now, p) {
 		return
 	}
@@ -87,7 +89,7 @@
 
 // drawMessage builds a draw. Unless the router keeps a buffer, the message also moves the
 // balance, so that the owner decides over all tokens.
-func (a *Agent) drawMessage(now time.Time, p *accountBalance, token uint64, need int64) Message {
+func (a *Agent) drawMessage(now time.Time, p *budgetState, token uint64, need int64) Message {
 	p.drawTarget = a.cfg.Owner(now, p.id)
 	to := Peer{ID: p.drawTarget}
 	if p.owner.ID == p.drawTarget {
@@ -106,13 +108,13 @@
 
 // returnToPeer sends the whole usable balance to a peer, even if it is empty: the message
 // is the answer to a recall.
-func (a *Agent) returnToPeer(p *accountBalance, to Peer) {
+func (a *Agent) returnToPeer(p *budgetState, to Peer) {
 	a.emit(Send{a.move(p, Back, to, max(p.usable(), 0))})
 }
 
 // returnSurplus returns an unused balance to the owner unless the router keeps a buffer, so
 // that the tokens are where the next request is decided.
-func (a *Agent) returnSurplus(now time.Time, p *accountBalance) {
+func (a *Agent) returnSurplus(now time.Time, p *budgetState) {
 	if p.balance <= 0 || p.waiting() || a.closing || a.isOwner(now, p.id) || a.keepsBuffer(now, p) {
 		return
 	}
@@ -125,14 +127,14 @@
 }
 
 // returnToStore queues the whole balance for return.
-func (a *Agent) returnToStore(now time.Time, p *accountBalance) {
+func (a *Agent) returnToStore(now time.Time, p *budgetState) {
 	amount := p.balance
 	p.balance = 0
 	a.queue(now, pageOp{budget: p.id, need: -amount})
 }
 
 // ownerKnown reports whether the current owner is another router whose incarnation is known.
-func (a *Agent) ownerKnown(now time.Time, p *accountBalance) bool {
+func (a *Agent) ownerKnown(now time.Time, p *budgetState) bool {
 	if owner := a.cfg.Owner(now, p.id); p.owner.ID != owner && a.cfg.Running != nil {
 		p.owner = a.cfg.Running(owner)
 	}
@@ -141,7 +143,7 @@
 
 // returnIdle returns a balance that nothing uses: to the owner, or from the owner (and from
 // a closing router) to the store.
-func (a *Agent) returnIdle(now time.Time, p *accountBalance) {
+func (a *Agent) returnIdle(now time.Time, p *budgetState) {
 	if a.closing && a.handOver(now, p) {
 		return
 	}
@@ -157,7 +159,7 @@
 
 // handOver gives a stopping router's tokens to another router while the store does not
 // answer; it returns false if they should go to the store.
-func (a *Agent) handOver(now time.Time, p *accountBalance) bool {
+func (a *Agent) handOver(now time.Time, p *budgetState) bool {
 	if a.cfg.StoreLost == nil || a.cfg.Lenders == nil || !a.cfg.StoreLost() {
 		return false
 	}
--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -62,8 +62,8 @@
 }
 
 const (
-	// maxUsableRatio is how many times the usable target may be usable before the page is
-	// rewritten to put the excess in escrow again.
+	// maxUsableRatio is the ratio of the usable tokens to the usable target above which the
+	// page is rewritten to put the excess in escrow again.
 	maxUsableRatio = 2.0
 	// rewriteEscrowBelow is the share of the usable target below which the page is
 	// rewritten to release more.
@@ -84,7 +84,7 @@
 
 // refreshEscrow recomputes how much of the balance may not be used now: what the page in
 // the store says, or may say if a write's answer is outstanding or lost.
-func (a *Agent) refreshEscrow(now time.Time, p *accountBalance) {
+func (a *Agent) refreshEscrow(now time.Time, p *budgetState) {
 	p.escrow = 0
 	ps := a.pages[p.page]
 	if !a.keepsEscrow() || ps == nil {
@@ -100,11 +100,11 @@
 func (a *Agent) keepsEscrow() bool { return a.cfg.UsableHorizon > 0 }
 
 // usable returns the tokens that may be spent or lent now.
-func (p *accountBalance) usable() int64 { return p.balance - p.escrow }
+func (p *budgetState) usable() int64 { return p.balance - p.escrow }
 
 // usableTarget returns how many tokens a write of the page leaves usable: the demand until
 // the page is likely written again.
-func (a *Agent) usableTarget(now time.Time, p *accountBalance) int64 {
+func (a *Agent) usableTarget(now time.Time, p *budgetState) int64 {
 	target := p.expectedDemand(now, a.cfg.UsableHorizon)
 	return max(target, int64(a.cfg.HeldRequests*p.meanNeed)) + p.requested()
 }
@@ -137,7 +137,7 @@
 // needsEscrowRewrite reports whether the page should be written for its escrow alone: so
 // little is usable that more should be released, or so much that the excess should be put
 // in escrow again.
-func (a *Agent) needsEscrowRewrite(now time.Time, p *accountBalance) bool {
+func (a *Agent) needsEscrowRewrite(now time.Time, p *budgetState) bool {
 	if !a.keepsEscrow() {
 		return false
 	}
@@ -149,7 +149,7 @@
 }
 
 // exceedsUsableTarget reports whether far more is usable than a write would leave usable.
-func (a *Agent) exceedsUsableTarget(now time.Time, p *accountBalance, usable, target float64) bool {
+func (a *Agent) exceedsUsableTarget(now time.Time, p *budgetState, usable, target float64) bool {
 	ps := a.pages[p.page]
 	if ps == nil || ps.write != nil || now.Sub(ps.wroteAt) < a.cfg.EscrowRewriteInterval {
 		return false
@@ -175,7 +175,7 @@
 		}
 		ps.rewriteEscrow = true
 		if !age.proven(e) {
-			a.emit(EscrowWrittenOff{Holder: holder, Steady: age.steady, WallClock: age.wallClock, Tokens: e.tokens()})
+			a.emit(EscrowForfeited{Holder: holder, Steady: age.steady, WallClock: age.wallClock, Tokens: e.tokens()})
 			ps.page.Close(holder)
 			continue
 		}
--- a/budget/final_reserve.go
+++ b/budget/final_reserve.go
@@ -21,13 +21,13 @@
 
 // inFinalReserve reports whether, as far as this router knows, only the final reserve is
 // left.
-func (a *Agent) inFinalReserve(p *accountBalance) bool {
+func (a *Agent) inFinalReserve(p *budgetState) bool {
 	r := a.record(p)
 	return r != nil && a.cfg.FinalReserveShare > 0 && r.Free() <= a.finalReserve(r)
 }
 
 // trackFinalReserve records when a budget reached its final reserve.
-func (a *Agent) trackFinalReserve(now time.Time, p *accountBalance) {
+func (a *Agent) trackFinalReserve(now time.Time, p *budgetState) {
 	switch {
 	case !a.inFinalReserve(p):
 		p.finalReserveSince = time.Time{}
@@ -37,7 +37,7 @@
 }
 
 // record returns the budget in the router's copy of its page, or nil if there is none.
-func (a *Agent) record(p *accountBalance) *Record {
+func (a *Agent) record(p *budgetState) *Record {
 	ps := a.pages[p.page]
 	if ps == nil || !ps.have {
 		return nil
@@ -49,7 +49,7 @@
 // must be small, and the schedule must have released enough tokens for it. The schedule
 // depends only on time and on what all routers together have left of the final reserve,
 // since it is not known at which routers the demand arises.
-func (a *Agent) admitsFromFinalReserve(now time.Time, p *accountBalance, need int64) bool {
+func (a *Agent) admitsFromFinalReserve(now time.Time, p *budgetState, need int64) bool {
 	r := a.record(p)
 	reserve := a.finalReserve(r)
 	return need <= reserve/finalReserveDivisor && r.Free()-need >= a.unreleasedFinalReserve(now, p, reserve)
@@ -58,7 +58,7 @@
 // unreleasedFinalReserve returns how much of the final reserve must be left now, counted
 // from the time that trackFinalReserve recorded: a fraction 1/e (about a third) after
 // FinalReserveTime, and a little for long after that.
-func (a *Agent) unreleasedFinalReserve(now time.Time, p *accountBalance, reserve int64) int64 {
+func (a *Agent) unreleasedFinalReserve(now time.Time, p *budgetState, reserve int64) int64 {
 	elapsed := now.Sub(p.finalReserveSince).Seconds() / a.cfg.FinalReserveTime.Seconds()
 	return int64(float64(reserve) * math.Exp(-elapsed))
 }
--- a/budget/hold.go
+++ b/budget/hold.go
@@ -10,14 +10,14 @@
 // targetBalance returns how many tokens an owner should hold of the budget: its demand
 // within OwnerHorizon, at least a few requests' worth for a budget that is rarely used, and
 // at most its fair share of what is left.
-func (a *Agent) targetBalance(now time.Time, p *accountBalance) int64 {
+func (a *Agent) targetBalance(now time.Time, p *budgetState) int64 {
 	want := max(p.expectedDemand(now, a.cfg.OwnerHorizon), int64(a.cfg.HeldRequests*p.meanNeed), a.initialBalance(p))
 	return min(want, a.fairShare(now, p))
 }
 
 // initialBalance returns what an owner holds of a budget for which it has no demand
 // estimate, so that the first requests need not wait for the store.
-func (a *Agent) initialBalance(p *accountBalance) int64 {
+func (a *Agent) initialBalance(p *budgetState) int64 {
 	limit, known := a.limits[p.id]
 	if a.cfg.InitialShare == 0 || !known {
 		return 0
@@ -26,7 +26,7 @@
 }
 
 // refillThreshold returns the balance below which an owner draws more.
-func (a *Agent) refillThreshold(now time.Time, p *accountBalance) int64 {
+func (a *Agent) refillThreshold(now time.Time, p *budgetState) int64 {
 	horizon := time.Duration(float64(a.cfg.OwnerHorizon) * a.cfg.RefillBelow)
 	initial := int64(a.cfg.RefillBelow * float64(a.initialBalance(p)))
 	threshold := max(p.expectedDemand(now, horizon), int64(a.cfg.LowRequests*p.meanNeed), initial)
@@ -37,7 +37,7 @@
 // last at the fleet's demand. It is large for a budget that lasts long, to cover an outage
 // of the store. It is small for one that runs out soon: all of it will be used anyway, and
 // what is held may be lost with the router.
-func (a *Agent) fairShare(now time.Time, p *accountBalance) int64 {
+func (a *Agent) fairShare(now time.Time, p *budgetState) int64 {
 	r := a.record(p)
 	if a.cfg.ScarceWithin == 0 || r == nil {
 		return math.MaxInt64 / 2
@@ -56,7 +56,7 @@
 // page records it, in tokens per second. If a single router draws for all, its own demand
 // is the fleet's: the demand recorded for other holders was served by former owners and is
 // the same demand.
-func (a *Agent) demands(now time.Time, p *accountBalance) (own, fleet float64) {
+func (a *Agent) demands(now time.Time, p *budgetState) (own, fleet float64) {
 	own = float64(p.expectedDemand(now, time.Second))
 	fleet = own
 	if a.cfg.Routers() == 1 {
--- a/budget/holding.go
+++ b/budget/holding.go
@@ -29,7 +29,7 @@
 
 // DecisionInput returns the data that the next decision on a budget would be based on.
 func (a *Agent) DecisionInput(now time.Time, id string) DecisionInput {
-	p, ok := a.balances[id]
+	p, ok := a.budgets[id]
 	if !ok {
 		return DecisionInput{}
 	}
@@ -48,13 +48,13 @@
 // what it was sent before is reclaimed, but what was sent afterwards would be lost.
 func (a *Agent) Fence(incarnation string) {
 	a.fenced[incarnation] = true
-	for _, p := range a.balances {
+	for _, p := range a.budgets {
 		p.removeIncarnation(incarnation)
 	}
 }
 
-// removeIncarnation drops a fenced incarnation from the account balance's peers.
-func (p *accountBalance) removeIncarnation(incarnation string) {
+// removeIncarnation drops a fenced incarnation from the budget's peers.
+func (p *budgetState) removeIncarnation(incarnation string) {
 	if p.owner.Incarnation == incarnation {
 		p.owner = Peer{}
 	}
@@ -70,7 +70,7 @@
 
 // Holding returns what this router holds of a budget.
 func (a *Agent) Holding(id string) Holding {
-	p, ok := a.balances[id]
+	p, ok := a.budgets[id]
 	if !ok {
 		return Holding{}
 	}
@@ -85,8 +85,8 @@
 
 // Holdings returns what this router holds of every budget that it has used.
 func (a *Agent) Holdings() map[string]Holding {
-	all := make(map[string]Holding, len(a.balances))
-	for id := range a.balances {
+	all := make(map[string]Holding, len(a.budgets))
+	for id := range a.budgets {
 		all[id] = a.Holding(id)
 	}
 	return all
--- a/budget/limits.go
+++ b/budget/limits.go
@@ -23,7 +23,7 @@
 		}
 		a.limits[id] = next
 		if a.cfg.InitialShare > 0 {
-			a.accountBalance(id).lastUse = now
+			a.budgetState(id).lastUse = now
 		}
 		if known && next.Tokens < old.Tokens {
 			a.returnLowered(now, id)
@@ -40,15 +40,15 @@
 
 // returnLowered returns the balance of a budget whose limit was lowered to the store.
 func (a *Agent) returnLowered(now time.Time, id string) {
-	p, held := a.balances[id]
+	p, held := a.budgets[id]
 	if held && p.balance > 0 {
-		a.returnToStore(now, a.accountBalance(id))
+		a.returnToStore(now, a.budgetState(id))
 	}
 }
 
 // limitRaised makes the next reservation query the store again.
 func (a *Agent) limitRaised(id string) {
-	if p, held := a.balances[id]; held {
+	if p, held := a.budgets[id]; held {
 		p.scarce = false
 		p.shortAt = time.Time{}
 	}
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -13,7 +13,8 @@
 	Unreachable Cause = "unreachable"
 	// Unknown: the store has no such budget.
 	Unknown Cause = "unknown"
-	// Moved: the router asked is closing or is not the owner; ask the successor.
+	// Moved: the router asked is closing, or the store does not answer it and it is no longer
+	// the owner; ask the successor.
 	Moved Cause = "moved"
 )
 
@@ -98,9 +99,9 @@
 // Suspect reports that an instance did not answer in time, or that it is not the owner.
 type Suspect struct{ ID string }
 
-// RetryOwner requests a call of Agent.RetryOwner after the preceding effects have been
+// AskSuccessor requests a call of Agent.AskSuccessor after the preceding effects have been
 // carried out: only then is another router the owner.
-type RetryOwner struct{ Budget string }
+type AskSuccessor struct{ Budget string }
 
 // HolderFenced reports that this holder was fenced: its tokens are void, and the process
 // must end.
@@ -117,9 +118,9 @@
 	Tokens map[string]int64
 }
 
-// EscrowWrittenOff reports that an earlier process of this instance held tokens in escrow
+// EscrowForfeited reports that an earlier process of this instance held tokens in escrow
 // that cannot be proven unused: they count as spent from the next write on.
-type EscrowWrittenOff struct {
+type EscrowForfeited struct {
 	// Holder is the earlier process.
 	Holder string
 	// Steady and WallClock are the time from its last write to the start of this process,
@@ -129,12 +130,12 @@
 	Tokens map[string]int64
 }
 
-func (Send) effect()             {}
-func (ReadPage) effect()         {}
-func (WritePage) effect()        {}
-func (Resolve) effect()          {}
-func (Suspect) effect()          {}
-func (RetryOwner) effect()       {}
-func (HolderFenced) effect()     {}
-func (EscrowReclaimed) effect()  {}
-func (EscrowWrittenOff) effect() {}
+func (Send) effect()            {}
+func (ReadPage) effect()        {}
+func (WritePage) effect()       {}
+func (Resolve) effect()         {}
+func (Suspect) effect()         {}
+func (AskSuccessor) effect()    {}
+func (HolderFenced) effect()    {}
+func (EscrowReclaimed) effect() {}
+func (EscrowForfeited) effect() {}
--- a/budget/page.go
+++ b/budget/page.go
@@ -151,8 +151,8 @@
 	delete(p.Escrows, holder)
 }
 
-// Reclaim returns tokens that fenced holders left behind, as computed by Stranded, to the
-// budgets and fences the holders.
+// Reclaim returns to the budgets the tokens that fenced holders left behind, as computed by
+// Stranded, and records the fence in the page.
 func (p *Page) Reclaim(holders []string, stranded map[string]int64) {
 	for id, tokens := range stranded {
 		p.Budgets[id].Settled -= tokens
@@ -160,7 +160,8 @@
 	p.fence(holders)
 }
 
-// WriteOff counts tokens that fenced holders left behind as spent and fences the holders.
+// WriteOff permanently counts as spent the tokens that fenced holders left behind, and
+// records the fence in the page.
 func (p *Page) WriteOff(holders []string, stranded map[string]int64) {
 	for id, tokens := range stranded {
 		p.Budgets[id].WrittenOff += tokens
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -80,7 +80,7 @@
 }
 
 // drawFromStore queues a draw of at least need and, depending on demand, more.
-func (a *Agent) drawFromStore(now time.Time, p *accountBalance, need int64) {
+func (a *Agent) drawFromStore(now time.Time, p *budgetState, need int64) {
 	p.lookup = lookupRunning
 	p.lookedAt = now
 	want := a.targetBalance(now, p)
@@ -154,7 +154,7 @@
 }
 
 // makeUrgent turns a queued prefetch into a draw that callers wait for.
-func (a *Agent) makeUrgent(now time.Time, p *accountBalance) {
+func (a *Agent) makeUrgent(now time.Time, p *budgetState) {
 	ps := a.pages[p.page]
 	if ps == nil {
 		return
@@ -199,7 +199,7 @@
 }
 
 // returnExcess queues a return of tokens beyond an owner's target balance.
-func (a *Agent) returnExcess(now time.Time, p *accountBalance, ps *pageState, tokens int64) {
+func (a *Agent) returnExcess(now time.Time, p *budgetState, ps *pageState, tokens int64) {
 	p.balance -= tokens
 	ps.ops = append(ps.ops, pageOp{budget: p.id, need: -tokens, at: now})
 }
@@ -219,15 +219,16 @@
 	return false
 }
 
-// buildWrite builds one conditional update for all queued operations. If none of them
-// changes the page, there is no write.
+// buildWrite builds one conditional update for all queued operations. If none of them moves
+// tokens and the escrow need not be rewritten, it builds none and the operations are
+// answered without a write.
 func (a *Agent) buildWrite(now time.Time, n int, ps *pageState) {
 	value := ps.page.Clone()
 	changed := ps.rewriteEscrow
 	applied := make([]appliedOp, 0, len(ps.ops))
 	for _, op := range ps.ops {
 		tokens := a.tokensFor(value, op)
-		if op.need >= 0 && a.needsEscrowRewrite(now, a.accountBalance(op.budget)) {
+		if op.need >= 0 && a.needsEscrowRewrite(now, a.budgetState(op.budget)) {
 			changed = true
 		}
 		if tokens != 0 {
@@ -356,7 +357,7 @@
 }
 
 // unqueueReturns moves tokens that are queued for return to the store back to the balance.
-func (a *Agent) unqueueReturns(p *accountBalance) {
+func (a *Agent) unqueueReturns(p *budgetState) {
 	ps := a.pages[p.page]
 	if ps == nil {
 		return
@@ -397,7 +398,7 @@
 }
 
 func (a *Agent) finishDraw(now time.Time, ps *pageState, ap appliedOp) {
-	p := a.accountBalance(ap.op.budget)
+	p := a.budgetState(ap.op.budget)
 	r := ps.page.Budgets[p.id]
 	p.balance += ap.tokens
 	p.unknown = r == nil
@@ -440,7 +441,7 @@
 // failDraw ends the search that waits for a draw. A draw in a lost write may still be
 // credited later.
 func (a *Agent) failDraw(now time.Time, op pageOp) {
-	p := a.accountBalance(op.budget)
+	p := a.budgetState(op.budget)
 	if op.need < 0 || p.lookup != lookupRunning {
 		return
 	}
--- a/budget/redirect_test.go
+++ b/budget/redirect_test.go
@@ -49,8 +49,8 @@
 		switch e := e.(type) {
 		case budget.Suspect:
 			h.skipped[e.ID] = true
-		case budget.RetryOwner:
-			effects = slices.Concat(effects, h.agent.RetryOwner(h.now, e.Budget))
+		case budget.AskSuccessor:
+			effects = slices.Concat(effects, h.agent.AskSuccessor(h.now, e.Budget))
 		case budget.Resolve:
 			h.resolved = append(h.resolved, e)
 		case budget.Send:
--- a/budget/search.go
+++ b/budget/search.go
@@ -9,7 +9,7 @@
 // holders that it granted tokens to, then from other routers; if all fail, it refuses.
 
 // advance grants what the balance covers and searches for more for the rest.
-func (a *Agent) advance(now time.Time, p *accountBalance) {
+func (a *Agent) advance(now time.Time, p *budgetState) {
 	a.refreshEscrow(now, p)
 	a.serveWaiters(p)
 	a.serveDraws(now, p)
@@ -39,7 +39,7 @@
 
 // resetLookup clears the result of a finished search, so that the next one starts again at
 // the store.
-func (p *accountBalance) resetLookup() {
+func (p *budgetState) resetLookup() {
 	if p.lookup == lookupShort || p.lookup == lookupFailed {
 		p.lookup = lookupIdle
 	}
@@ -49,7 +49,7 @@
 func (a *Agent) startingUp(now time.Time) bool { return now.Sub(a.cfg.Started) < startupDelay }
 
 // prefetch asks for more tokens before the balance runs out.
-func (a *Agent) prefetch(now time.Time, p *accountBalance) {
+func (a *Agent) prefetch(now time.Time, p *budgetState) {
 	if p.scarce || a.closing || p.lookup == lookupRunning || p.recall.active || a.startingUp(now) {
 		return
 	}
@@ -68,7 +68,7 @@
 
 // search takes the owner's next step to obtain tokens: the store, then the holders, then
 // the other routers, then a refusal. Each step is taken once per search.
-func (a *Agent) search(now time.Time, p *accountBalance) {
+func (a *Agent) search(now time.Time, p *budgetState) {
 	if a.mayDraw(now, p) {
 		a.drawFromStore(now, p, max(p.drawable(), 0))
 		return
@@ -89,7 +89,7 @@
 
 // unreachableCause returns the cause of a refusal when the store does not answer: Moved if
 // another router, which the store may answer, has become the owner.
-func (a *Agent) unreachableCause(now time.Time, p *accountBalance) Cause {
+func (a *Agent) unreachableCause(now time.Time, p *budgetState) Cause {
 	if a.isOwner(now, p.id) {
 		return Unreachable
 	}
@@ -98,7 +98,7 @@
 
 // mayDraw reports whether the store may have tokens for the waiting requests, or a write
 // may release some of this router's escrow.
-func (a *Agent) mayDraw(now time.Time, p *accountBalance) bool {
+func (a *Agent) mayDraw(now time.Time, p *budgetState) bool {
 	if p.lookup != lookupIdle {
 		return false
 	}
@@ -110,7 +110,7 @@
 
 // startRecall asks the holders for unused tokens; it returns false if there is no holder
 // to ask.
-func (a *Agent) startRecall(now time.Time, p *accountBalance) bool {
+func (a *Agent) startRecall(now time.Time, p *budgetState) bool {
 	p.scarce = true
 	p.recall = recallRound{at: now, waiting: map[string]bool{}}
 	for _, incarnation := range p.recallableHolders() {
@@ -123,7 +123,7 @@
 
 // recallableHolders returns the incarnations worth a recall, sorted, so that a seeded run
 // is reproducible.
-func (p *accountBalance) recallableHolders() []string {
+func (p *budgetState) recallableHolders() []string {
 	var list []string
 	for incarnation, h := range p.holders {
 		if h.recallable {
@@ -134,7 +134,7 @@
 	return list
 }
 
-func (a *Agent) refuseAll(p *accountBalance, cause Cause) {
+func (a *Agent) refuseAll(p *budgetState, cause Cause) {
 	a.refuseWaiters(p, cause)
 	for _, d := range p.draws {
 		a.refuseDraw(p, d, cause)
@@ -143,7 +143,7 @@
 }
 
 // refuseWaiters refuses the reservations of this router's own requests.
-func (a *Agent) refuseWaiters(p *accountBalance, cause Cause) {
+func (a *Agent) refuseWaiters(p *budgetState, cause Cause) {
 	for _, w := range p.waiters {
 		a.emit(Resolve{Token: w.token, Cause: cause})
 	}
--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -49,7 +49,7 @@
 
 	mu      sync.Mutex
 	agent   *budget.Agent
-	waiting map[uint64]chan reservation
+	waiting map[uint64]chan reservationResult
 	onStop  func()
 	// tickInterval is the time from the last tick to the next one. wake makes Run read the
 	// interval again after it became shorter.
@@ -71,11 +71,11 @@
 	}
 }
 
-// escrowTime returns the time by which held budgets age. Other ages include the time for which
-// the machine was suspended. The age of an escrow must not include it: escrows are released, and
+// agentTime returns the agent's time, by which held budgets age. Other ages include the time
+// for which the machine was suspended. The age of an escrow must not include it: escrows are released, and
 // reclaimed by the next process, by the machine's monotonic clock, which restarts after a power
 // loss and advances only while tokens can be used.
-func escrowTime() time.Time { return time.Now() }
+func agentTime() time.Time { return time.Now() }
 
 // New returns a controller. Without cfg.Owner, the member ranked first for a
 // page's role is the owner of the page's budgets. onStop is called when this holder
@@ -90,7 +90,7 @@
 		peers:   p,
 		log:     log,
 		agent:   budget.NewAgent(cfg),
-		waiting: map[uint64]chan reservation{},
+		waiting: map[uint64]chan reservationResult{},
 		wake:    make(chan struct{}, 1),
 		onStop:  onStop,
 
@@ -139,7 +139,7 @@
 // withAgent calls the agent under the lock and then carries out the returned effects.
 func (c *Controller) withAgent(call func(time.Time, *budget.Agent) []budget.Effect) {
 	c.mu.Lock()
-	effects := call(escrowTime(), c.agent)
+	effects := call(agentTime(), c.agent)
 	c.resolve(effects)
 	c.shortenTick()
 	c.mu.Unlock()
@@ -171,7 +171,7 @@
 		}
 		if ch, waits := c.waiting[r.Token]; waits {
 			delete(c.waiting, r.Token)
-			ch <- reservation{ok: r.OK, cause: r.Cause}
+			ch <- reservationResult{ok: r.OK, cause: r.Cause}
 		}
 	}
 }
@@ -186,13 +186,13 @@
 		go c.write(e)
 	case budget.Suspect:
 		c.members.ReportFailure(e.ID, errNoGrant)
-	case budget.RetryOwner:
-		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.RetryOwner(now, e.Budget) })
+	case budget.AskSuccessor:
+		c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.AskSuccessor(now, e.Budget) })
 	case budget.EscrowReclaimed:
 		c.log.Info("tokens of an earlier process taken back", zap.String("holder", e.Holder),
 			zap.Duration("age_ms", e.Age), zap.Any("tokens", e.Tokens))
-	case budget.EscrowWrittenOff:
-		c.log.Warn("tokens of an earlier process written off: its clock may have restarted", zap.String("holder", e.Holder),
+	case budget.EscrowForfeited:
+		c.log.Warn("tokens of an earlier process counted as spent: its clock may have restarted", zap.String("holder", e.Holder),
 			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.WallClock), zap.Any("tokens", e.Tokens))
 	case budget.HolderFenced:
 		c.onStop()
@@ -223,7 +223,7 @@
 func (c *Controller) DecisionInput(id string) budget.DecisionInput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.agent.DecisionInput(escrowTime(), id)
+	return c.agent.DecisionInput(agentTime(), id)
 }
 
 // Fence rejects all further messages of an incarnation.
--- a/controller/budgets/reserve.go
+++ b/controller/budgets/reserve.go
@@ -19,8 +19,8 @@
 	unansweredRetryAfter = 300 * time.Millisecond
 )
 
-// reservation is the outcome of a waiting reservation.
-type reservation struct {
+// reservationResult is the outcome of a waiting reservation.
+type reservationResult struct {
 	ok    bool
 	cause budget.Cause
 }
@@ -28,7 +28,7 @@
 // Reserve reserves tokens of a budget, waiting for an answer if needed. The error
 // gives the reason for a refusal.
 func (c *Controller) Reserve(ctx context.Context, id string, tokens int64) error {
-	ch := make(chan reservation, 1)
+	ch := make(chan reservationResult, 1)
 	var token uint64
 	granted := false
 	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
@@ -49,10 +49,10 @@
 func (c *Controller) TryReserve(id string, tokens int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.agent.TryReserve(escrowTime(), id, tokens)
+	return c.agent.TryReserve(agentTime(), id, tokens)
 }
 
-func (c *Controller) await(ctx context.Context, id string, tokens int64, token uint64, ch chan reservation) error {
+func (c *Controller) await(ctx context.Context, id string, tokens int64, token uint64, ch chan reservationResult) error {
 	timer := time.NewTimer(reserveTimeout)
 	defer timer.Stop()
 	select {
@@ -67,7 +67,7 @@
 	got := <-ch
 	if got.ok && ctx.Err() != nil {
 		c.Settle(id, tokens, 0)
-		return reservationError(id, reservation{cause: budget.Unreachable})
+		return reservationError(id, reservationResult{cause: budget.Unreachable})
 	}
 	return reservationError(id, got)
 }
@@ -95,7 +95,7 @@
 	return true
 }
 
-func reservationError(id string, got reservation) error {
+func reservationError(id string, got reservationResult) error {
 	switch {
 	case got.ok:
 		return nil
@@ -108,7 +108,8 @@
 	}
 }
 
-// Settle ends a reservation and charges the tokens that were actually served.
+// Settle ends a reservation of reserved tokens, of which actual were served; the rest
+// returns to the balance.
 func (c *Controller) Settle(id string, reserved, actual int64) {
 	c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect {
 		return a.Settle(now, id, reserved, actual)
--- a/lab/policy/agents.go
+++ b/lab/policy/agents.go
@@ -134,8 +134,8 @@
 			a.write(n, e)
 		case budget.Suspect:
 			a.reportUnreachable(n, e.ID)
-		case budget.RetryOwner:
-			a.execute(n, n.agent.RetryOwner(a.w.Now, e.Budget))
+		case budget.AskSuccessor:
+			a.execute(n, n.agent.AskSuccessor(a.w.Now, e.Budget))
 		}
 	}
 }
