--- a/controller/ledgers/ledgers.go
+++ b/controller/ledgers/ledgers.go
@@ -23,8 +23,9 @@
 	submitTimeout = 1500 * time.Millisecond
 	// runningTimeout bounds the query whether a holder still runs a request.
 	runningTimeout = 500 * time.Millisecond
-	// maxOwners is the number of owners, in rank order, to which an op is submitted.
-	maxOwners = 3
+	// maxSubmitTries is the number of owners to which an op is submitted at most, in rank
+	// order until one answers.
+	maxSubmitTries = 3
 	// resubmitInterval is the interval at which unrecorded bills are submitted again.
 	resubmitInterval = 500 * time.Millisecond
 	evictInterval    = 10 * time.Second
--- a/controller/ledgers/submit.go
+++ b/controller/ledgers/submit.go
@@ -52,7 +52,7 @@
 	if len(ranked) == 0 {
 		return []string{c.members.Self().ID}
 	}
-	return ranked[:min(len(ranked), maxOwners)]
+	return ranked[:min(len(ranked), maxSubmitTries)]
 }
 
 // Claim requests permission to run a request. Each dispatch is recorded outside this
--- a/ledger/shard.go
+++ b/ledger/shard.go
@@ -81,13 +81,13 @@
 
 // queuedOp is an op that is queued for the log.
 type queuedOp struct {
-	op        Op
-	token     uint64
-	queuedAt  time.Time
-	waiting   bool // the reply is sent when the op is committed
-	outcome   Outcome
-	withdrawn bool // answered StoreDown although its batch may be in the log
-	applied   bool // the op has been applied to the state
+	op           Op
+	token        uint64
+	queuedAt     time.Time
+	waiting      bool // the reply is sent when the op is committed
+	outcome      Outcome
+	answeredDown bool // a claim or fence that was answered StoreDown although its batch may be in the log
+	applied      bool // the op has been applied to the state
 }
 
 // resetDecision clears the attempt number of a claim whose batch turned out not
@@ -273,7 +273,7 @@
 // with the batch, because the original bill may be in that batch.
 func (s *Shard) decide(now time.Time, e *queuedOp) (Op, bool) {
 	if !e.waiting {
-		return e.op, !e.withdrawn
+		return e.op, !e.answeredDown
 	}
 	outcome, log := s.state.apply(now, e.op)
 	e.outcome = outcome
@@ -466,7 +466,7 @@
 			continue
 		}
 		s.emit(Reply{Token: e.token, Outcome: Outcome{Decision: StoreDown}})
-		e.withdrawn = true
+		e.answeredDown = true
 		if e.op.Kind == Fence {
 			continue
 		}
@@ -501,8 +501,8 @@
 	}
 }
 
-// resolveInFlight answers the batch in flight if it was found in the log, and
-// requeues it otherwise.
+// resolveInFlight answers the batch in flight if it was found in the log. Otherwise it
+// requeues the ops, except those that were already answered StoreDown.
 func (s *Shard) resolveInFlight(found bool) {
 	if found {
 		s.committed()
@@ -510,7 +510,7 @@
 	}
 	back := make([]*queuedOp, 0, len(s.inFlight)+len(s.pending))
 	for _, e := range s.inFlight {
-		if !e.withdrawn {
+		if !e.answeredDown {
 			back = append(back, e)
 		}
 	}
