--- a/controller/reclaims/reclaims.go
+++ b/controller/reclaims/reclaims.go
@@ -116,8 +116,9 @@
 	}
 }
 
-// Register registers this process in the store and fences the holders that are
-// marked as such there. The router accepts no requests until Register succeeds.
+// Register registers this process in the store, and makes this router reject the holders
+// that are registered there as fencing or fenced. The router accepts no requests until
+// Register succeeds.
 func (c *Controller) Register(ctx context.Context) error {
 	value, err := json.Marshal(c.self)
 	if err != nil {
--- a/controller/tables/tables.go
+++ b/controller/tables/tables.go
@@ -192,8 +192,9 @@
 	return true, c.State().Revision
 }
 
-// pollPending periodically resolves an undecided change until the context is
-// cancelled.
+// pollPending periodically reads the outcome of an undecided change until the context is
+// cancelled. It refuses a proposal that is older than abandonAfter: its proposer is taken
+// to be dead.
 func (c *Controller) pollPending(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -452,8 +453,8 @@
 }
 
 // VerifyCurrent verifies, after the process was paused, that the local configuration is
-// current. It reloads the log from the store, or else asks for a peer that has no
-// newer revision.
+// current. It reloads the log from the store; if the store does not answer, it asks the
+// peers until one has no newer revision.
 func (c *Controller) VerifyCurrent(ctx context.Context) bool {
 	if c.reload(ctx) != 0 {
 		return true
