--- a/controller/limits/over.go
+++ b/controller/limits/peer_fleet.go
@@ -12,25 +12,25 @@
 // ownerRole is the key prefix by which routers are ranked as owners of a server's rate.
 const ownerRole = "rate/"
 
-// Over implements Fleet with calls to the other routers.
-type Over struct {
+// PeerFleet implements Fleet with calls to the other routers.
+type PeerFleet struct {
 	spread.Audience
 	Client *peer.Client
 }
 
-var _ Fleet = Over{}
+var _ Fleet = PeerFleet{}
 
 // Owners implements Fleet.
-func (o Over) Owners(server string) []string {
+func (o PeerFleet) Owners(server string) []string {
 	return o.Members.Owners(clock.Now(), ownerRole+server, limiter.MaxOwners)
 }
 
 // Ask implements Fleet.
-func (o Over) Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
+func (o PeerFleet) Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
 	return spread.Call[peer.PermitRequest, peer.PermitAnswer](ctx, o.Audience, o.Client, id, peer.MethodPermit, req)
 }
 
 // Report implements Fleet.
-func (o Over) Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error) {
+func (o PeerFleet) Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error) {
 	return spread.Call[peer.LimitsRequest, peer.LimitsAnswer](ctx, o.Audience, o.Client, id, peer.MethodLimits, req)
 }
--- a/controller/roster/roster.go
+++ b/controller/roster/roster.go
@@ -72,8 +72,8 @@
 	Hello(ctx context.Context, addr string, req *peer.HelloRequest) (*peer.HelloAnswer, error)
 }
 
-// Over returns Calls that use the protocol between routers.
-func Over(client *peer.Client) Calls { return peerCalls{client} }
+// NewPeerCalls returns Calls that use the protocol between routers.
+func NewPeerCalls(client *peer.Client) Calls { return peerCalls{client} }
 
 type peerCalls struct{ client *peer.Client }
 
--- a/controller/updates/calls.go
+++ b/controller/updates/calls.go
@@ -16,8 +16,8 @@
 	List(ctx context.Context, addr string, req *peer.ListRequest) (*peer.ListAnswer, error)
 }
 
-// Over returns an implementation of Calls that uses the peer protocol.
-func Over(client *peer.Client) Calls { return peerCalls{client} }
+// NewPeerCalls returns an implementation of Calls that uses the peer protocol.
+func NewPeerCalls(client *peer.Client) Calls { return peerCalls{client} }
 
 type peerCalls struct{ client *peer.Client }
 
--- a/controller/verdicts/over.go
+++ b/controller/verdicts/peer_fleet.go
@@ -7,15 +7,15 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Over implements Fleet with calls to the other routers.
-type Over struct {
+// PeerFleet implements Fleet with calls to the other routers.
+type PeerFleet struct {
 	spread.Audience
 	Client *peer.Client
 }
 
-var _ Fleet = Over{}
+var _ Fleet = PeerFleet{}
 
 // Report implements Fleet.
-func (o Over) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
+func (o PeerFleet) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
 	return spread.Call[peer.VerdictsRequest, peer.VerdictsAnswer](ctx, o.Audience, o.Client, id, peer.MethodVerdicts, req)
 }
--- a/server/cold.go
+++ b/server/cold.go
@@ -23,7 +23,7 @@
 func (s *Server) newLimits() *limits.Controller {
 	return limits.New(limits.Options{
 		Self:    s.settings.Instance.ID,
-		Fleet:   limits.Over{Audience: s.audience(), Client: s.peers},
+		Fleet:   limits.PeerFleet{Audience: s.audience(), Client: s.peers},
 		Settled: s.rosterSettled,
 		Runs:    s.servers.TakesWork,
 		Updated: s.updatedByRelays,
--- a/server/provision.go
+++ b/server/provision.go
@@ -55,7 +55,7 @@
 	s.verdicts = verdicts.New(verdicts.Options{
 		Checker: s.pool,
 		Servers: s.servers,
-		Fleet:   verdicts.Over{Audience: s.audience(), Client: s.peers},
+		Fleet:   verdicts.PeerFleet{Audience: s.audience(), Client: s.peers},
 		Store:   s.store,
 		Stale:   s.largeFleet,
 		Updated: s.updatedByRelays,
@@ -104,7 +104,7 @@
 		Verdicts: s.verdicts,
 		Limits:   s.limits,
 
-		Calls:  updates.Over(s.peers),
+		Calls:  updates.NewPeerCalls(s.peers),
 		Self:   s.incarnation,
 		Domain: s.settings.Instance.Domain,
 		Lost:   s.lastStoreCallFailed,
@@ -189,7 +189,7 @@
 		FirstStart: s.settings.Fleet.FirstStart,
 		Store:      s.store,
 		Members:    s.members,
-		Calls:      roster.Over(s.helloClient),
+		Calls:      roster.NewPeerCalls(s.helloClient),
 		Log:        s.log,
 	})
 }
