--- a/controller/configs/configs.go
+++ b/controller/configs/configs.go
@@ -55,7 +55,7 @@
 func (c *Controller) Changed(objects []store.Object) {
 	for _, o := range objects {
 		if o.Key == c.key && !o.Deleted {
-			c.Take(o.Value, "store")
+			c.Apply(o.Value, "store")
 		}
 	}
 }
@@ -69,9 +69,9 @@
 // Regained implements follow.Handler.
 func (c *Controller) Regained() {}
 
-// Take decodes a configuration and activates it if it is newer. source names its
+// Apply decodes a configuration and activates it if it is newer. source names its
 // origin in the log. Decoding errors are logged, and the active one is kept.
-func (c *Controller) Take(raw []byte, source string) {
+func (c *Controller) Apply(raw []byte, source string) {
 	next, err := guard.Call(func() (*catalog.Catalog, error) { return c.decode(raw) })
 	if err != nil {
 		c.log.Error("cannot decode configuration; keeping the active version", zap.String("source", source), zap.Int64("config", c.Version()), zap.Error(err))
--- a/controller/configs/configs_test.go
+++ b/controller/configs/configs_test.go
@@ -38,7 +38,7 @@
 		t.Fatalf("a router without a configuration sends %d bytes, %v", len(packed), err)
 	}
 	raw := large(7)
-	from.Take(raw, "store")
+	from.Apply(raw, "store")
 	packed, err := from.Packed()
 	if err != nil {
 		t.Fatal(err)
@@ -46,31 +46,31 @@
 	if len(packed) > len(raw)/5 {
 		t.Fatalf("%d bytes packed into %d", len(raw), len(packed))
 	}
-	if err := to.TakePacked(packed, "r1"); err != nil || to.Version() != 7 {
+	if err := to.ApplyPacked(packed, "r1"); err != nil || to.Version() != 7 {
 		t.Fatalf("version %d, %v", to.Version(), err)
 	}
 }
 
 func TestPackedFollowsTheNewestVersion(t *testing.T) {
 	from, to := controller(), controller()
-	from.Take(large(1), "store")
+	from.Apply(large(1), "store")
 	if _, err := from.Packed(); err != nil {
 		t.Fatal(err)
 	}
-	from.Take(large(2), "store")
+	from.Apply(large(2), "store")
 	packed, err := from.Packed()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := to.TakePacked(packed, "r1"); err != nil || to.Version() != 2 {
+	if err := to.ApplyPacked(packed, "r1"); err != nil || to.Version() != 2 {
 		t.Fatalf("version %d, %v", to.Version(), err)
 	}
 }
 
 func TestInvalidPackedConfigurationIsIgnored(t *testing.T) {
 	c := controller()
-	c.Take(large(3), "store")
-	if err := c.TakePacked([]byte("no flate"), "r1"); err == nil {
+	c.Apply(large(3), "store")
+	if err := c.ApplyPacked([]byte("no flate"), "r1"); err == nil {
 		t.Fatal("invalid data was accepted")
 	}
 	if c.Version() != 3 {
@@ -82,7 +82,7 @@
 // compressed format has no checksum; only its final block marks the end.
 func TestTruncatedPackedConfigurationIsRejected(t *testing.T) {
 	from, to := controller(), controller()
-	from.Take(large(7), "store")
+	from.Apply(large(7), "store")
 	packed, err := from.Packed()
 	if err != nil {
 		t.Fatal(err)
@@ -91,11 +91,11 @@
 		if n > 64 && n < len(packed)-64 && n%101 != 0 {
 			continue
 		}
-		if err := to.TakePacked(packed[:n], "r2"); err == nil || to.Version() != 0 {
+		if err := to.ApplyPacked(packed[:n], "r2"); err == nil || to.Version() != 0 {
 			t.Fatalf("cut at %d of %d: version %d, %v", n, len(packed), to.Version(), err)
 		}
 	}
-	if err := to.TakePacked(packed, "r2"); err != nil || to.Version() != 7 {
+	if err := to.ApplyPacked(packed, "r2"); err != nil || to.Version() != 7 {
 		t.Fatalf("whole: version %d, %v", to.Version(), err)
 	}
 }
@@ -110,8 +110,8 @@
 		return decode(raw)
 	}
 	c := configs.New("config/main", panicking, func(*catalog.Catalog) {}, zap.NewNop())
-	c.Take(large(3), "store")
-	c.Take([]byte("poison"), "store")
+	c.Apply(large(3), "store")
+	c.Apply([]byte("poison"), "store")
 	if c.Version() != 3 {
 		t.Errorf("version %d", c.Version())
 	}
--- a/controller/configs/packed.go
+++ b/controller/configs/packed.go
@@ -24,13 +24,13 @@
 	return c.packed, err
 }
 
-// TakePacked decompresses and takes a configuration from Packed of another router,
+// ApplyPacked decompresses and applies a configuration from Packed of another router,
 // which source names.
-func (c *Controller) TakePacked(text []byte, source string) error {
+func (c *Controller) ApplyPacked(text []byte, source string) error {
 	raw, err := packed.Unpack(text, maxUnpacked)
 	if err != nil {
 		return trace.Wrap(err, "decompressing the configuration from %s", source)
 	}
-	c.Take(raw, source)
+	c.Apply(raw, source)
 	return nil
 }
--- a/controller/evacuations/evacuations.go
+++ b/controller/evacuations/evacuations.go
@@ -48,7 +48,7 @@
 	for _, o := range objects {
 		domains = append(domains, store.NameOf(o.Key))
 	}
-	c.Take(domains, revision, "store")
+	c.Apply(domains, revision, "store")
 }
 
 // Changed implements follow.Handler. An object evacuates the failure domain that it is named
@@ -73,13 +73,13 @@
 	c.pending = nil
 	c.mu.Unlock()
 	if pending != nil {
-		c.Take(slices.Collect(maps.Keys(pending)), revision, "store")
+		c.Apply(slices.Collect(maps.Keys(pending)), revision, "store")
 	}
 }
 
-// Take replaces the evacuated failure domains by those at a store revision, unless that revision
+// Apply replaces the evacuated failure domains by those at a store revision, unless that revision
 // is not newer than the known one. source names the origin in the log.
-func (c *Controller) Take(domains []string, revision int64, source string) {
+func (c *Controller) Apply(domains []string, revision int64, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision <= c.revision {
--- a/controller/evacuations/evacuations_test.go
+++ b/controller/evacuations/evacuations_test.go
@@ -58,12 +58,12 @@
 func TestStaleUpdateChangesNothing(t *testing.T) {
 	k := newRecorder()
 	k.Listed([]store.Object{{Key: "evacuated/a"}}, 20)
-	k.Take(nil, 19, "r1")
+	k.Apply(nil, 19, "r1")
 	k.expect(t, "a")
 	k.change(21, store.Object{Key: "evacuated/a", Deleted: true})
-	k.Take([]string{"a"}, 20, "r1")
+	k.Apply([]string{"a"}, 20, "r1")
 	k.expect(t)
-	k.Take([]string{"a"}, 22, "r1")
+	k.Apply([]string{"a"}, 22, "r1")
 	k.expect(t, "a")
 }
 
--- a/controller/registry/cold_test.go
+++ b/controller/registry/cold_test.go
@@ -159,7 +159,7 @@
 func TestOldRegistrationDoesNotMakeAServerCold(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		withCold(c)
-		c.TakeListed([]changelog.Received{{Object: coldEntry("a", 1, 3*time.Second), Age: 20 * time.Second}}, newest)
+		c.ApplyList([]changelog.Received{{Object: coldEntry("a", 1, 3*time.Second), Age: 20 * time.Second}}, newest)
 		if n := c.Cold(); n != 0 {
 			t.Errorf("%d servers are treated as cold", n)
 		}
--- a/controller/registry/lapse_test.go
+++ b/controller/registry/lapse_test.go
@@ -36,7 +36,7 @@
 func TestServersThatLeftWhileRoutersWereDisconnectedGetNoRequest(t *testing.T) {
 	for name, answer := range map[string]func(*registry.Controller){
 		"by a list":         func(c *registry.Controller) { c.Listed(registered(serverCount-2, 1), newest) },
-		"by another's list": func(c *registry.Controller) { c.TakeListed(receivedFrom(registered(serverCount-2, 1)), newest) },
+		"by another's list": func(c *registry.Controller) { c.ApplyList(receivedFrom(registered(serverCount-2, 1)), newest) },
 		"by changes":        func(c *registry.Controller) { c.Changed([]store.Object{gone("s8"), gone("s9")}) },
 		"one change each": func(c *registry.Controller) {
 			c.Changed([]store.Object{gone("s8")})
@@ -77,7 +77,7 @@
 			c.Changed(deletions(0, serverCount))
 		},
 		"told by another": func(c *registry.Controller) {
-			c.TakeChanged(receivedFrom(deletions(0, serverCount)))
+			c.ApplyChanges(receivedFrom(deletions(0, serverCount)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -179,11 +179,11 @@
 // Listed implements follow.Handler. Entries newer than the list's revision stay
 // unchanged, since a list from another router may be older than the local state.
 func (c *Controller) Listed(objects []store.Object, revision int64) {
-	c.TakeListed(changelog.Fresh(objects), revision)
+	c.ApplyList(changelog.Fresh(objects), revision)
 }
 
-// TakeListed applies a list of all registrations from another router.
-func (c *Controller) TakeListed(objects []changelog.Received, revision int64) {
+// ApplyList applies a list of all registrations from another router.
+func (c *Controller) ApplyList(objects []changelog.Received, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	present := make(map[string]changelog.Received, len(objects))
@@ -239,16 +239,16 @@
 }
 
 // Changed implements follow.Handler.
-func (c *Controller) Changed(objects []store.Object) { c.TakeChanged(changelog.Fresh(objects)) }
+func (c *Controller) Changed(objects []store.Object) { c.ApplyChanges(changelog.Fresh(objects)) }
 
-// TakeUpdate applies all changes up to a revision from another router.
-func (c *Controller) TakeUpdate(objects []changelog.Received, revision int64) {
-	c.TakeChanged(objects)
+// ApplyUpdate applies all changes up to a revision from another router.
+func (c *Controller) ApplyUpdate(objects []changelog.Received, revision int64) {
+	c.ApplyChanges(objects)
 	c.Advanced(revision)
 }
 
-// TakeChanged applies changes from another router.
-func (c *Controller) TakeChanged(objects []changelog.Received) {
+// ApplyChanges applies changes from another router.
+func (c *Controller) ApplyChanges(objects []changelog.Received) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lapseCheckDue() {
--- a/controller/roster/fleet_test.go
+++ b/controller/roster/fleet_test.go
@@ -225,7 +225,7 @@
 		time.Sleep(4 * time.Second)
 		seed, other := all[0], all[39]
 		list, revision := seed.All()
-		other.TakeListed(list, revision)
+		other.ApplyList(list, revision)
 		if other.Size() != routers || other.Revision() != revision {
 			t.Fatalf("%d routers at revision %d", other.Size(), other.Revision())
 		}
@@ -235,9 +235,9 @@
 		if !held || len(changes.Values) != 1 || changes.UpTo != revision+1 {
 			t.Fatalf("%+v, held %v", changes, held)
 		}
-		other.TakeUpdate(changes.Values, changes.UpTo)
-		other.TakeUpdate(list, revision)
-		other.TakeListed(list, revision)
+		other.ApplyUpdate(changes.Values, changes.UpTo)
+		other.ApplyUpdate(list, revision)
+		other.ApplyList(list, revision)
 		if _, known := other.Members.Get(member(20).ID); known || other.Size() != routers-1 {
 			t.Errorf("a router whose registration was deleted is known: %v, %d routers", known, other.Size())
 		}
@@ -259,7 +259,7 @@
 			t.Fatal(err)
 		}
 		list, revision := c.All()
-		c.TakeListed(list, revision+1)
+		c.ApplyList(list, revision+1)
 		if m, _ := c.Members.Get(member(5).ID); m.Incarnation != member(5).Incarnation {
 			t.Errorf("the known incarnation was cleared: %+v", m)
 		}
--- a/controller/roster/replica.go
+++ b/controller/roster/replica.go
@@ -68,11 +68,11 @@
 
 // Listed implements follow.Handler.
 func (c *Controller) Listed(objects []store.Object, revision int64) {
-	c.TakeListed(changelog.Fresh(objects), revision)
+	c.ApplyList(changelog.Fresh(objects), revision)
 }
 
 // Changed implements follow.Handler.
-func (c *Controller) Changed(objects []store.Object) { c.takeChanged(changelog.Fresh(objects)) }
+func (c *Controller) Changed(objects []store.Object) { c.applyChanges(changelog.Fresh(objects)) }
 
 // Advanced implements follow.Handler.
 func (c *Controller) Advanced(revision int64) {
@@ -91,17 +91,17 @@
 // Regained implements follow.Handler.
 func (c *Controller) Regained() {}
 
-// TakeUpdate implements updates.Replica. It ignores an update older than the known revision.
-func (c *Controller) TakeUpdate(changed []changelog.Received, revision int64) {
+// ApplyUpdate implements updates.Replica. It ignores an update older than the known revision.
+func (c *Controller) ApplyUpdate(changed []changelog.Received, revision int64) {
 	if revision < c.Revision() {
 		return
 	}
-	c.takeChanged(changed)
+	c.applyChanges(changed)
 	c.Advanced(revision)
 }
 
-// TakeListed implements updates.Replica. It ignores a list older than the known revision.
-func (c *Controller) TakeListed(all []changelog.Received, revision int64) {
+// ApplyList implements updates.Replica. It ignores a list older than the known revision.
+func (c *Controller) ApplyList(all []changelog.Received, revision int64) {
 	c.mu.Lock()
 	known := c.changes.Revision()
 	c.mu.Unlock()
@@ -112,7 +112,7 @@
 	for _, o := range all {
 		present[o.Key] = true
 	}
-	c.takeChanged(append(c.missingFrom(present, revision), all...))
+	c.applyChanges(append(c.missingFrom(present, revision), all...))
 	if len(all) >= Large {
 		// A known router that is not registered yet is added again by later changes.
 		c.Members.Retain(func(id string) bool { return present[keyOf(id)] })
@@ -140,8 +140,8 @@
 	return deletions
 }
 
-// takeChanged applies registrations and deletions in order.
-func (c *Controller) takeChanged(objects []changelog.Received) {
+// applyChanges applies registrations and deletions in order.
+func (c *Controller) applyChanges(objects []changelog.Received) {
 	var registered []membership.Member
 	var gone []string
 	for _, o := range objects {
--- a/controller/updates/changes.go
+++ b/controller/updates/changes.go
@@ -116,7 +116,7 @@
 			return appliedPart, err
 		}
 	}
-	replica.TakeUpdate(receivedFrom(changed, max(changes.PackedAge, 0)), changes.UpTo)
+	replica.ApplyUpdate(receivedFrom(changed, max(changes.PackedAge, 0)), changes.UpTo)
 	if changes.More {
 		return appliedPart, nil
 	}
--- a/controller/updates/lists.go
+++ b/controller/updates/lists.go
@@ -48,10 +48,10 @@
 	// All returns all objects in the order of their keys, and the revision up to which they
 	// include all changes.
 	All() (all []changelog.Received, revision int64)
-	// TakeUpdate applies all changes up to a revision, and TakeListed a list of all objects at a
+	// ApplyUpdate applies all changes up to a revision, and ApplyList a list of all objects at a
 	// revision.
-	TakeUpdate(changed []changelog.Received, revision int64)
-	TakeListed(all []changelog.Received, revision int64)
+	ApplyUpdate(changed []changelog.Received, revision int64)
+	ApplyList(all []changelog.Received, revision int64)
 }
 
 // snapshot holds all objects of a kind at one time, in compressed pages.
@@ -213,7 +213,7 @@
 	c.lists.mu.Lock()
 	delete(c.lists.transfers, kind)
 	c.lists.mu.Unlock()
-	replica.TakeListed(t.received, t.revision)
+	replica.ApplyList(t.received, t.revision)
 	c.noteListed(kind, t.asOf)
 	c.Log.Info("list read", zap.String("kind", string(kind)), zap.String("router", id), zap.Int("objects", len(t.received)),
 		zap.Int64("revision", t.revision), zap.Duration("took_ms", clock.Since(t.startedAt)))
--- a/controller/updates/pair_test.go
+++ b/controller/updates/pair_test.go
@@ -184,7 +184,7 @@
 		go p.asking.Run(t.Context())
 		time.Sleep(time.Second)
 		p.stuck = true
-		p.theirConfigs.Take([]byte("7"), "store")
+		p.theirConfigs.Apply([]byte("7"), "store")
 		parts := (&fleet{}).parts()
 		for range 100 { // a change is due within the bound
 			time.Sleep(parts.Sum() / 100)
--- a/controller/updates/receive.go
+++ b/controller/updates/receive.go
@@ -80,7 +80,7 @@
 	if !c.UpToDate() && !c.Fresh() {
 		c.Servers.Regained()
 	}
-	c.Evacuations.Take(answer.Evacuated, answer.EvacuatedAt, id)
+	c.Evacuations.Apply(answer.Evacuated, answer.EvacuatedAt, id)
 	received := timestampsOf(answer.Ages, sent)
 	if newer {
 		received.Config = time.Time{} // still being fetched
@@ -146,5 +146,5 @@
 	if err != nil {
 		return err
 	}
-	return c.Configs.TakePacked(answer.Packed, id)
+	return c.Configs.ApplyPacked(answer.Packed, id)
 }
--- a/controller/updates/updates.go
+++ b/controller/updates/updates.go
@@ -126,8 +126,8 @@
 type Evacuations interface {
 	// Known returns the evacuated domains and the store revision at which they were read.
 	Known() (domains []string, revision int64)
-	// Take applies the domains received from another router.
-	Take(domains []string, revision int64, source string)
+	// Apply applies the domains received from another router.
+	Apply(domains []string, revision int64, source string)
 }
 
 // Verdicts holds the requests known to crash servers.
