--- a/bound/bound.go
+++ b/bound/bound.go
@@ -9,9 +9,9 @@
 import "time"
 
 const (
-	// AskEvery is the interval at which a relay polls a watcher for updates, and the minimum
+	// RequestInterval is the interval at which a relay polls a watcher for updates, and the minimum
 	// interval at which a router polls a relay.
-	AskEvery = 250 * time.Millisecond
+	RequestInterval = 250 * time.Millisecond
 	// maxPollInterval is the maximum interval at which a router polls a relay.
 	maxPollInterval = time.Second
 	// transferTime is the total time on busy links for a relay's poll of a watcher and a router's
@@ -54,8 +54,9 @@
 	Watch time.Duration
 	// Propagation is the additional age at routers that are updated by others; 0 in a small fleet.
 	Propagation time.Duration
-	// Ask is the interval at which a router polls a relay for updates; it is a part of Propagation.
-	Ask time.Duration
+	// RequestInterval is the interval at which a router polls a relay for updates; it is a part of
+	// Propagation.
+	RequestInterval time.Duration
 	// Discovery is the time that a router that no longer gets updates needs to query the store
 	// directly.
 	Discovery time.Duration
@@ -67,11 +68,11 @@
 // Divide divides a bound into its parts. In a large fleet only a few routers watch the store, and
 // the others get updates from them.
 func Divide(bound time.Duration, large bool) Parts {
-	p := Parts{Ask: AskEvery, Discovery: discoveryInSmallFleet, Delivery: delivery}
+	p := Parts{RequestInterval: RequestInterval, Discovery: discoveryInSmallFleet, Delivery: delivery}
 	if large {
 		p.Discovery = discoveryInLargeFleet
-		p.Ask = pollInterval(bound)
-		p.Propagation = AskEvery + p.Ask + transferTime
+		p.RequestInterval = pollInterval(bound)
+		p.Propagation = RequestInterval + p.RequestInterval + transferTime
 	}
 	p.Watch = min(max(bound-p.Propagation-p.Discovery-p.Delivery, minWatch), maxWatch)
 	return p
@@ -82,7 +83,7 @@
 // because a poll costs both routers the same whether there are updates or not.
 func pollInterval(bound time.Duration) time.Duration {
 	const minBound = 2 * time.Second
-	return min(max((bound-minBound)/4, AskEvery), maxPollInterval)
+	return min(max((bound-minBound)/4, RequestInterval), maxPollInterval)
 }
 
 // Sum returns the maximum time from a change until no request is handled by the state before it.
@@ -94,7 +95,7 @@
 
 // RelayStaleAfter returns the staleness bound of a router that relays updates.
 func (p Parts) RelayStaleAfter() time.Duration {
-	return p.Watch + min(p.Propagation/2, AskEvery+transferTime/2)
+	return p.Watch + min(p.Propagation/2, RequestInterval+transferTime/2)
 }
 
 // Retry returns the maximum delay of a router between a failed query of the store and the next one.
--- a/bound/bound_test.go
+++ b/bound/bound_test.go
@@ -34,10 +34,10 @@
 	const callTime = 4 * 10 * time.Millisecond // the store's response and both polls, with a margin
 	for _, b := range []time.Duration{3 * time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
 		p := bound.Divide(b, true)
-		if maxAge := p.Watch + bound.AskEvery + p.Ask + callTime; maxAge >= p.StaleAfter() {
+		if maxAge := p.Watch + bound.RequestInterval + p.RequestInterval + callTime; maxAge >= p.StaleAfter() {
 			t.Errorf("%v: updates are up to %v old and become stale at %v", b, maxAge, p.StaleAfter())
 		}
-		if maxAge := p.Watch + bound.AskEvery + callTime; maxAge >= p.RelayStaleAfter() {
+		if maxAge := p.Watch + bound.RequestInterval + callTime; maxAge >= p.RelayStaleAfter() {
 			t.Errorf("%v: updates at relays are up to %v old and become stale at %v", b, maxAge, p.RelayStaleAfter())
 		}
 	}
--- a/controller/updates/answer.go
+++ b/controller/updates/answer.go
@@ -17,7 +17,7 @@
 // noteAnsweredElsewhere records that the store answers another router, which waits for updates
 // from this one.
 func (c *Controller) noteAnsweredElsewhere() {
-	if !c.UpdatesOthers() || c.Fresh() {
+	if !c.UpdatesOthers() || c.StoreFresh() {
 		return
 	}
 	c.mu.Lock()
@@ -64,8 +64,8 @@
 // setSourceState sets whether this router has current state from the store and where it
 // originates: the store itself or, for a relay, the watchers.
 func (c *Controller) setSourceState(answer *peer.UpdatesAnswer) {
-	answer.Lost = c.Lost()
-	answer.Current = c.Fresh() && c.Servers.Ready()
+	answer.Lost = c.StoreCallFailed()
+	answer.Current = c.StoreFresh() && c.Servers.Ready()
 	if answer.Lost || answer.Current {
 		answer.Direct = true
 		answer.Origin = c.Members.Self().ID
--- a/controller/updates/ask.go
+++ b/controller/updates/ask.go
@@ -17,7 +17,7 @@
 	go c.checkRoles(ctx)
 	for ctx.Err() == nil {
 		wakeups.Note(wakeups.Updates)
-		if c.Lost() || c.Large() {
+		if c.StoreCallFailed() || c.Large() {
 			c.startRequest(ctx)
 		}
 		_ = wait.For(ctx, c.pause())
@@ -59,7 +59,7 @@
 // pause returns the time until the next request.
 func (c *Controller) pause() time.Duration {
 	switch {
-	case !c.Large() && !c.Lost():
+	case !c.Large() && !c.StoreCallFailed():
 		return requestInterval
 	case !c.Servers.Ready():
 		return c.startupPause()
@@ -97,7 +97,7 @@
 // for them, or its state has recently exceeded the staleness bound of a relay.
 func (c *Controller) isBehind() bool {
 	if c.UpdatesOthers() {
-		return !c.RecentlyUpdated() && !c.Fresh()
+		return !c.RecentlyUpdated() && !c.StoreFresh()
 	}
 	expected := 2*c.interval() + catchUpGrace
 	c.mu.Lock()
@@ -140,12 +140,12 @@
 	defer cancel()
 	begun := clock.Now()
 	answer, err := c.Calls.Updates(callCtx, addr, c.newRequest())
-	if c.Took != nil {
-		c.Took(clock.Since(begun))
+	if c.ObserveDuration != nil {
+		c.ObserveDuration(clock.Since(begun))
 	}
 	if err != nil {
-		if c.Failed != nil {
-			c.Failed(begun, err)
+		if c.OnFailure != nil {
+			c.OnFailure(begun, err)
 		}
 		c.Members.ReportFailure(id, err)
 		c.tryNext()
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -395,14 +395,14 @@
 		Configs: r.configs, Servers: r.servers, Members: known, Calls: fleetCalls{f},
 		Verdicts: r.verdicts, Limits: r.limits, Evacuations: r.evacuations,
 		Self: self.ID + "/1", Domain: self.Domain,
-		Lost:       func() bool { return count((*follow.Follower).Lost) > 0 },
-		Fresh:      func() bool { return count((*follow.Follower).Fresh) == len(followers) },
-		AsOf:       func() updates.Timestamps { return asOf(followers) },
-		StaleAfter: f.staleAfter,
-		AskEvery:   func() time.Duration { return f.parts().Ask },
-		Answered:   answered,
-		Large:      isLarge,
-		Log:        zap.NewNop(),
+		StoreCallFailed: func() bool { return count((*follow.Follower).Lost) > 0 },
+		StoreFresh:      func() bool { return count((*follow.Follower).Fresh) == len(followers) },
+		AsOf:            func() updates.Timestamps { return asOf(followers) },
+		StaleAfter:      f.staleAfter,
+		RequestInterval: func() time.Duration { return f.parts().RequestInterval },
+		Answered:        answered,
+		Large:           isLarge,
+		Log:             zap.NewNop(),
 	})
 	if r.roster != nil {
 		r.updates.Routers = r.roster
@@ -663,7 +663,7 @@
 			f.ignore(func(int) bool { return true })
 			time.Sleep(8 * time.Second)
 			f.ignore(nobody)
-			time.Sleep(bound.AskEvery)
+			time.Sleep(bound.RequestInterval)
 			f.waitForAnyAnswer()
 			time.Sleep(time.Second)
 			if n := f.relaysUpdated(); n < domains*2 {
@@ -689,7 +689,7 @@
 	relays := f.all[0].updates.RelayIDs()
 	n := 0
 	for _, r := range f.all {
-		if slices.Contains(relays, r.members.Self().ID) && (r.updates.Fresh() || r.updates.UpToDate()) {
+		if slices.Contains(relays, r.members.Self().ID) && (r.updates.StoreFresh() || r.updates.UpToDate()) {
 			n++
 		}
 	}
--- a/controller/updates/pair_test.go
+++ b/controller/updates/pair_test.go
@@ -71,7 +71,7 @@
 			Limits:      limits.New(limits.Options{Log: zap.NewNop()}),
 			Evacuations: evacuations.New(evacuations.Options{Log: zap.NewNop()}),
 			Self:        member(self).ID + "/1", Domain: member(self).Domain,
-			Lost: func() bool { return false }, Fresh: fresh,
+			StoreCallFailed: func() bool { return false }, StoreFresh: fresh,
 			AsOf:       asOf,
 			StaleAfter: (&fleet{}).staleAfter, Answered: never,
 			Large: func() bool { return true },
--- a/controller/updates/receive.go
+++ b/controller/updates/receive.go
@@ -77,7 +77,7 @@
 		c.tryNext()
 		return
 	}
-	if !c.UpToDate() && !c.Fresh() {
+	if !c.UpToDate() && !c.StoreFresh() {
 		c.Servers.Regained()
 	}
 	c.Evacuations.Apply(answer.Evacuated, answer.EvacuatedAt, id)
--- a/controller/updates/roles.go
+++ b/controller/updates/roles.go
@@ -23,7 +23,7 @@
 		return follow.Fallback // others wait for its updates, also those that the store refuses
 	}
 	origin, upToDate := c.updateOrigin()
-	if !upToDate || c.Fresh() && c.outranks(origin) {
+	if !upToDate || c.StoreFresh() && c.outranks(origin) {
 		return follow.Fallback
 	}
 	return follow.Idle
--- a/controller/updates/updates.go
+++ b/controller/updates/updates.go
@@ -26,7 +26,7 @@
 	// initialRequestInterval is the interval at startup, which doubles up to requestInterval: a
 	// router serves no requests before its first update. catchUpInterval is the interval of a
 	// router that lacks updates which other routers wait for.
-	requestInterval        = bound.AskEvery
+	requestInterval        = bound.RequestInterval
 	initialRequestInterval = 50 * time.Millisecond
 	catchUpInterval        = 100 * time.Millisecond
 	// moreChangesPause is the pause after an answer that held only part of the changes.
@@ -96,27 +96,27 @@
 	Self string
 	// Domain is this router's failure domain.
 	Domain string
-	// Lost reports whether this router's last call of the store failed, and Fresh whether the
-	// store has answered within the duration of a watch.
-	Lost, Fresh func() bool
+	// StoreCallFailed reports whether this router's last call of the store failed, and StoreFresh
+	// whether the store has answered within the duration of a watch.
+	StoreCallFailed, StoreFresh func() bool
 	// AsOf returns the times up to which this router has received all changes from the store
 	// itself.
 	AsOf func() Timestamps
 	// StaleAfter returns the staleness bounds above which a relay or another router queries the
 	// store directly; 0 means that objects of that kind are not followed.
 	StaleAfter func(relay bool) peer.Ages
-	// AskEvery returns the interval between update requests of a router that updates no others;
-	// if nil, the interval of relays applies.
-	AskEvery func() time.Duration
+	// RequestInterval returns the interval between update requests of a router that updates no
+	// others; if nil, the interval of relays applies.
+	RequestInterval func() time.Duration
 	// Answered returns when the store last answered any call of this process.
 	Answered func() time.Time
-	// Failed, if set, receives the start time and the error of each failed update request.
-	Failed func(begun time.Time, cause error)
+	// OnFailure, if set, receives the start time and the error of each failed update request.
+	OnFailure func(begun time.Time, cause error)
 	// Timeout extends the normal timeout of a request while this router's link is saturated; if
 	// nil, the normal timeout always applies.
 	Timeout func(normal time.Duration) time.Duration
-	// Took, if set, receives the duration of each update request.
-	Took func(time.Duration)
+	// ObserveDuration, if set, receives the duration of each update request.
+	ObserveDuration func(time.Duration)
 	// Large reports whether the fleet is so large that only a few routers watch the store.
 	Large func() bool
 	Log   *zap.Logger
@@ -243,15 +243,15 @@
 
 // interval returns the interval between update requests while updates arrive.
 func (c *Controller) interval() time.Duration {
-	if c.AskEvery == nil || c.UpdatesOthers() {
+	if c.RequestInterval == nil || c.UpdatesOthers() {
 		return requestInterval
 	}
-	return c.AskEvery()
+	return c.RequestInterval()
 }
 
 // StoreLost reports whether the store answers neither this router's calls nor the watchers.
 func (c *Controller) StoreLost() bool {
-	return c.Lost() || c.StoreLostAtRelays()
+	return c.StoreCallFailed() || c.StoreLostAtRelays()
 }
 
 // StoreLostAtRelays reports whether, according to the relays, the store does not answer the
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -39,7 +39,7 @@
 	staleRetryAfter = 50 * time.Millisecond
 	// staleWait is how long a request may wait for a stale router to catch up: the interval
 	// between two requests for updates. stalePoll is the polling interval during that wait.
-	staleWait = bound.AskEvery
+	staleWait = bound.RequestInterval
 	stalePoll = 10 * time.Millisecond
 	// minReserveWait is the minimum time that a request may wait for tokens: a read and a
 	// write at the store plus a margin.
--- a/server/bounds.go
+++ b/server/bounds.go
@@ -22,7 +22,7 @@
 	if evacuate := limits.Evacuate.Std(); evacuate > 0 {
 		within = min(within, evacuate)
 	}
-	return s.parts(within).Ask
+	return s.parts(within).RequestInterval
 }
 
 // staleAfter returns the staleness bounds from which this router queries the store directly, for
--- a/server/provision.go
+++ b/server/provision.go
@@ -104,22 +104,22 @@
 		Verdicts: s.verdicts,
 		Limits:   s.limits,
 
-		Calls:  updates.NewPeerCalls(s.peers),
-		Self:   s.incarnation,
-		Domain: s.settings.Instance.Domain,
-		Lost:   s.lastStoreCallFailed,
-		Fresh:  s.storeFresh,
-		Large:  s.largeFleet,
-		Log:    s.log,
-
-		AsOf:       s.storeAsOf,
-		StaleAfter: s.staleAfter,
-		AskEvery:   s.updateInterval,
-		Answered:   s.store.Answered,
-		Failed:     s.peerCallFailed,
-		Timeout:    s.peers.Timeout,
-
-		Took: func(d time.Duration) { s.queue.Observe(clock.Now(), d) },
+		Calls:           updates.NewPeerCalls(s.peers),
+		Self:            s.incarnation,
+		Domain:          s.settings.Instance.Domain,
+		StoreCallFailed: s.lastStoreCallFailed,
+		StoreFresh:      s.storeFresh,
+		Large:           s.largeFleet,
+		Log:             s.log,
+
+		AsOf:            s.storeAsOf,
+		StaleAfter:      s.staleAfter,
+		RequestInterval: s.updateInterval,
+		Answered:        s.store.Answered,
+		OnFailure:       s.peerCallFailed,
+		Timeout:         s.peers.Timeout,
+
+		ObserveDuration: func(d time.Duration) { s.queue.Observe(clock.Now(), d) },
 	})
 	servers := s.followerOptions(s.platform.ServerKind, s.servers, s.settings.Bounds.Leave.Std())
 	servers.ReceivedRevision = s.servers.Revision
