--- a/controller/configs/configs.go
+++ b/controller/configs/configs.go
@@ -63,11 +63,11 @@
 // Advanced implements follow.Handler.
 func (c *Controller) Advanced(int64) {}
 
-// Lost implements follow.Handler. The configuration stays active.
-func (c *Controller) Lost() {}
+// StoreLost implements follow.Handler. The configuration stays active.
+func (c *Controller) StoreLost() {}
 
-// Regained implements follow.Handler.
-func (c *Controller) Regained() {}
+// StoreRestored implements follow.Handler.
+func (c *Controller) StoreRestored() {}
 
 // Apply decodes a configuration and activates it if it is newer. source names its
 // origin in the log. Decoding errors are logged, and the active one is kept.
--- a/controller/evacuations/evacuations.go
+++ b/controller/evacuations/evacuations.go
@@ -142,8 +142,8 @@
 	return maps.Clone(c.since)
 }
 
-// Lost implements follow.Handler. Known evacuations stay in effect.
-func (c *Controller) Lost() {}
+// StoreLost implements follow.Handler. Known evacuations stay in effect.
+func (c *Controller) StoreLost() {}
 
-// Regained implements follow.Handler.
-func (c *Controller) Regained() {}
+// StoreRestored implements follow.Handler.
+func (c *Controller) StoreRestored() {}
--- a/controller/follow/busy_test.go
+++ b/controller/follow/busy_test.go
@@ -65,7 +65,7 @@
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &busyStore{perSecond: float64(servers) / 3, begun: time.Now()}
-				f := follow.New(options(s, func() follow.Role { return follow.Watches }))
+				f := follow.New(options(s, func() follow.Role { return follow.Watcher }))
 				go f.Run(t.Context())
 				const span = 60 * time.Second
 				for begun := time.Now(); time.Since(begun) < span; {
--- a/controller/follow/fallback.go
+++ b/controller/follow/fallback.go
@@ -16,11 +16,11 @@
 // continues; the others call it at random times within the bound on a change, whatever the size of
 // the fleet, because the store may answer only this router.
 func (f *Follower) isDue(now time.Time) bool {
-	if f.Fresh() {
+	if f.StoreFresh() {
 		return true
 	}
-	if f.Prober != nil {
-		return f.Prober()
+	if f.ProbedElsewhere != nil {
+		return f.ProbedElsewhere()
 	}
 	if f.nextCallAt.IsZero() {
 		f.schedule(now)
@@ -117,7 +117,7 @@
 func (f *Follower) noteSource(role Role) {
 	lacksSource := role == Fallback
 	if lacksSource && !f.noSourceReported {
-		f.Handler.Lost()
+		f.Handler.StoreLost()
 	}
 	f.noSourceReported = lacksSource
 }
--- a/controller/follow/follow.go
+++ b/controller/follow/follow.go
@@ -53,8 +53,8 @@
 	Idle Role = iota
 	// Fallback queries the store, since no other router updates this one.
 	Fallback
-	// Watches watches the store, for other routers too in a large fleet.
-	Watches
+	// Watcher watches the store, for other routers too in a large fleet.
+	Watcher
 )
 
 // Handler handles the objects that a follower receives. Its methods are called sequentially.
@@ -65,10 +65,10 @@
 	Changed(objects []store.Object)
 	// Advanced reports that all changes up to a revision of the store were received.
 	Advanced(revision int64)
-	// Lost reports that the store does not answer or that there is no source of updates, and
-	// Regained that the store answers again.
-	Lost()
-	Regained()
+	// StoreLost reports that the store does not answer or that there is no source of updates, and
+	// StoreRestored that the store answers again.
+	StoreLost()
+	StoreRestored()
 }
 
 // Options configure a follower.
@@ -79,9 +79,9 @@
 	Handler Handler
 	// Role returns the current role of the follower.
 	Role func() Role
-	// Changed returns a channel that is closed when the role is no longer Idle; if nil, the role is
-	// polled.
-	Changed func() <-chan struct{}
+	// RoleChanged returns a channel that is closed when the role is no longer Idle; if nil, the
+	// role is polled.
+	RoleChanged func() <-chan struct{}
 	// Bound returns the division of the operator's bound on a change of the kind.
 	Bound func() bound.Parts
 	// ReceivedRevision returns the store revision up to which other routers have sent all changes
@@ -100,10 +100,10 @@
 	Probe func(context.Context) error
 	// AnsweredElsewhere reports whether the store answers another router.
 	AnsweredElsewhere func() bool
-	// Prober reports whether the store answers the follower that probes it on behalf of this one
-	// while both are fallback watchers; if nil, this follower probes the store itself.
-	Prober func() bool
-	Log    *zap.Logger
+	// ProbedElsewhere reports whether the store answers the follower that probes it on behalf of
+	// this one while both are fallback watchers; if nil, this follower probes the store itself.
+	ProbedElsewhere func() bool
+	Log             *zap.Logger
 }
 
 // Follower follows one kind of objects.
@@ -161,10 +161,10 @@
 // roleChanged returns a channel that is closed when the role changes, or nil if the role must be
 // polled.
 func (f *Follower) roleChanged() <-chan struct{} {
-	if f.Changed == nil {
+	if f.RoleChanged == nil {
 		return nil
 	}
-	return f.Changed()
+	return f.RoleChanged()
 }
 
 // waitForRole waits until the role may have changed.
@@ -182,7 +182,7 @@
 // try makes one call. It probes the store first after a failed call, and as a fallback watcher
 // without a current answer of the store unless another follower probes it on behalf of this one.
 func (f *Follower) try(ctx context.Context, role Role) error {
-	if f.Lost() || role == Fallback && !f.Fresh() && f.Prober == nil {
+	if f.StoreLost() || role == Fallback && !f.StoreFresh() && f.ProbedElsewhere == nil {
 		if err := f.probe(ctx); err != nil {
 			return err
 		}
@@ -197,7 +197,7 @@
 // watcher is scheduled by isDue. The first failure may be a stalled watch, which is retried at once.
 func (f *Follower) pause(role Role) time.Duration {
 	f.failures++
-	if role == Fallback && f.Prober != nil {
+	if role == Fallback && f.ProbedElsewhere != nil {
 		return retryPause // not scheduled by isDue
 	}
 	if role == Fallback || f.failures == 1 {
@@ -258,7 +258,7 @@
 		return f.list(ctx)
 	}
 	waits := f.Bound().Watch
-	if !f.Fresh() {
+	if !f.StoreFresh() {
 		waits = pollTimeout
 	}
 	ev, err := f.Store.Watch(ctx, f.Prefix, since, waits)
@@ -328,7 +328,7 @@
 	f.mu.Unlock()
 	if first {
 		f.Log.Warn("store lost", zap.Error(err), zap.Int64("revision", revision))
-		f.Handler.Lost()
+		f.Handler.StoreLost()
 	}
 }
 
@@ -341,12 +341,12 @@
 	f.answeredAt = clock.Now()
 	f.mu.Unlock()
 	if f.noSourceReported && !wasLost {
-		f.Handler.Regained()
+		f.Handler.StoreRestored()
 	}
 	f.noSourceReported = false
 	if wasLost {
 		f.Log.Info("store reachable again", zap.Duration("after_ms", clock.Since(since)), zap.Int64("revision", f.Revision()))
-		f.Handler.Regained()
+		f.Handler.StoreRestored()
 	}
 }
 
@@ -374,15 +374,15 @@
 	return f.asOf
 }
 
-// Lost reports whether the last call failed.
-func (f *Follower) Lost() bool {
+// StoreLost reports whether the last call failed.
+func (f *Follower) StoreLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lost
 }
 
-// Fresh reports whether the store's last answer is current.
-func (f *Follower) Fresh() bool {
+// StoreFresh reports whether the store's last answer is current.
+func (f *Follower) StoreFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.lost && clock.Since(f.answeredAt) < f.Bound().Watch+freshSlack
--- a/controller/follow/follow_test.go
+++ b/controller/follow/follow_test.go
@@ -58,8 +58,8 @@
 func (noopHandler) Listed([]store.Object, int64) {}
 func (noopHandler) Changed([]store.Object)       {}
 func (noopHandler) Advanced(int64)               {}
-func (noopHandler) Lost()                        {}
-func (noopHandler) Regained()                    {}
+func (noopHandler) StoreLost()                   {}
+func (noopHandler) StoreRestored()               {}
 
 // startsWithin is the time within which a starting follower has made its first call. The follower
 // polls at multiples of a tenth of a second, where a test at the same moment would see either state.
@@ -103,17 +103,17 @@
 func TestFreshOnlyAfterAnAnswer(t *testing.T) {
 	run(t, follow.Idle, func(s *fakeStore, f *follow.Follower, role *atomic.Int64) {
 		time.Sleep(5 * time.Second)
-		if f.Fresh() || s.calls.Load() > 0 {
+		if f.StoreFresh() || s.calls.Load() > 0 {
 			t.Fatal("fresh, or called the store, while idle")
 		}
-		role.Store(int64(follow.Watches))
+		role.Store(int64(follow.Watcher))
 		time.Sleep(3 * time.Second)
-		if !f.Fresh() {
+		if !f.StoreFresh() {
 			t.Fatal("not fresh although the store answers")
 		}
 		role.Store(int64(follow.Idle))
 		time.Sleep(5 * time.Second)
-		if f.Fresh() {
+		if f.StoreFresh() {
 			t.Fatal("fresh because of an answer five seconds ago")
 		}
 	})
@@ -125,7 +125,7 @@
 func TestUnreachableStoreIsCalledRarely(t *testing.T) {
 	// The pauses vary around a second, so that the number of calls in a minute varies by two or three.
 	const span, slack = time.Minute, 8
-	for role, fastRetries := range map[follow.Role]int64{follow.Watches: 8, follow.Fallback: 0} {
+	for role, fastRetries := range map[follow.Role]int64{follow.Watcher: 8, follow.Fallback: 0} {
 		run(t, role, func(s *fakeStore, f *follow.Follower, _ *atomic.Int64) {
 			s.down.Store(true)
 			time.Sleep(span)
@@ -134,7 +134,7 @@
 			}
 			s.down.Store(false)
 			time.Sleep(3 * time.Second)
-			if !f.Fresh() {
+			if !f.StoreFresh() {
 				t.Fatal("not fresh three seconds after the store is reachable again")
 			}
 		})
@@ -173,7 +173,7 @@
 			time.Sleep(time.Second)
 			found := false
 			for _, f := range fleet {
-				found = found || f.Fresh()
+				found = found || f.StoreFresh()
 			}
 			if !found {
 				t.Errorf("none of %d routers follows the store a second after it is reachable again", routers)
@@ -195,7 +195,7 @@
 			time.Sleep(time.Duration(rand.N(int64(10 * time.Second))))
 			s.down.Store(false)
 			time.Sleep(changeBound - bound.CallTimeout + 200*time.Millisecond)
-			if !f.Fresh() {
+			if !f.StoreFresh() {
 				t.Error("the follower does not follow the store")
 			}
 		})
@@ -223,7 +223,7 @@
 		now := time.Now()
 		answered.Store(&now)
 		time.Sleep(200 * time.Millisecond)
-		if !f.Fresh() {
+		if !f.StoreFresh() {
 			t.Error("the follower keeps waiting")
 		}
 	})
@@ -232,7 +232,7 @@
 // TestProbeIsSentAgainOnceTheStoreAnswersAnotherCall guards against an unanswered probe that blocks
 // a follower until its timeout, although the store has answered another call since.
 func TestProbeIsSentAgainOnceTheStoreAnswersAnotherCall(t *testing.T) {
-	for role, name := range map[follow.Role]string{follow.Watches: "follows", follow.Fallback: "fallback watcher"} {
+	for role, name := range map[follow.Role]string{follow.Watcher: "follows", follow.Fallback: "fallback watcher"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeStore{}
@@ -256,7 +256,7 @@
 				silent.Store(false)
 				answered.Store(time.Now().UnixNano())
 				time.Sleep(300 * time.Millisecond)
-				if !f.Fresh() {
+				if !f.StoreFresh() {
 					t.Error("the follower keeps waiting")
 				}
 			})
@@ -271,7 +271,7 @@
 		s := &fakeStore{}
 		s.down.Store(true)
 		o := options(s, func() follow.Role { return follow.Fallback })
-		o.Prober = func() bool { return true }
+		o.ProbedElsewhere = func() bool { return true }
 		go follow.New(o).Run(t.Context())
 		time.Sleep(time.Second)
 		if n := s.calls.Load() + s.probes.Load(); n > 5 {
@@ -302,7 +302,7 @@
 func TestFrequentChangesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &changingStore{}
-		f := follow.New(options(s, func() follow.Role { return follow.Watches }))
+		f := follow.New(options(s, func() follow.Role { return follow.Watcher }))
 		go f.Run(t.Context())
 		for range 200 {
 			time.Sleep(20 * time.Millisecond)
--- a/controller/follow/suspended_test.go
+++ b/controller/follow/suspended_test.go
@@ -14,23 +14,23 @@
 // suspended watch would otherwise continue until its timeout, or stall forever.
 func TestSuspensionEndsFreshness(t *testing.T) {
 	machine := clocktest.New(t)
-	run(t, follow.Watches, func(s *fakeStore, f *follow.Follower, _ *atomic.Int64) {
+	run(t, follow.Watcher, func(s *fakeStore, f *follow.Follower, _ *atomic.Int64) {
 		time.Sleep(100 * time.Millisecond)
-		if !f.Fresh() {
+		if !f.StoreFresh() {
 			t.Fatal("not fresh while the store answers")
 		}
 		machine.Suspend(30 * time.Second)
-		if f.Fresh() {
+		if f.StoreFresh() {
 			t.Error("fresh after a suspension of 30 s")
 		}
 		calls := s.calls.Load()
 		f.Resumed()
-		if !f.Lost() {
+		if !f.StoreLost() {
 			t.Error("the store counts as reachable before it has answered")
 		}
 		time.Sleep(400 * time.Millisecond)
-		if !f.Fresh() || s.calls.Load() == calls {
-			t.Errorf("fresh %v, %d calls within 0.4 s after the suspension", f.Fresh(), s.calls.Load()-calls)
+		if !f.StoreFresh() || s.calls.Load() == calls {
+			t.Errorf("fresh %v, %d calls within 0.4 s after the suspension", f.StoreFresh(), s.calls.Load()-calls)
 		}
 	})
 }
--- a/controller/registry/lapse.go
+++ b/controller/registry/lapse.go
@@ -25,19 +25,19 @@
 	lapsedShare = 0.5
 )
 
-// Regained implements follow.Handler. It makes the next update check for lapsed registrations.
-func (c *Controller) Regained() {
+// StoreRestored implements follow.Handler. It makes the next update check for lapsed registrations.
+func (c *Controller) StoreRestored() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.regainedAt = clock.Now()
+	c.restoredAt = clock.Now()
 	c.lapsed, c.lapseChecked = false, false
 }
 
 // lapseCheckDue reports whether an update may decide if registrations have lapsed. That is
-// the first list within lapseGrace after the connection to the store was regained, or the
+// the first list within lapseGrace after the connection to the store was restored, or the
 // first changes that delete registrations.
 func (c *Controller) lapseCheckDue() bool {
-	return !c.lapseChecked && clock.Since(c.regainedAt) <= lapseGrace
+	return !c.lapseChecked && clock.Since(c.restoredAt) <= lapseGrace
 }
 
 // checkLapse decides whether registrations have lapsed. lostKeys holds the keys of those that
@@ -59,7 +59,7 @@
 	c.lapseChecked = true
 	c.lapsed = float64(lost) > lapsedShare*float64(inUse)
 	c.log.Info("registrations missing after the store was lost", zap.Bool("lapsed", c.lapsed), zap.Int("in_use", inUse),
-		zap.Int("missing_or_new", lost), zap.Duration("regained_ms_ago", clock.Since(c.regainedAt)))
+		zap.Int("missing_or_new", lost), zap.Duration("regained_ms_ago", clock.Since(c.restoredAt)))
 }
 
 // lostInList returns the known registrations that a list lacks or contains with a new
@@ -97,7 +97,7 @@
 	if _, already := c.missing[id]; already || !c.servers.Has(id) {
 		return
 	}
-	until := c.regainedAt.Add(lapseGrace)
+	until := c.restoredAt.Add(lapseGrace)
 	left := clock.Until(until)
 	if !c.lapsed || left <= 0 {
 		c.remove(id)
--- a/controller/registry/lapse_test.go
+++ b/controller/registry/lapse_test.go
@@ -24,9 +24,9 @@
 // regainAfterOutage registers the servers and disconnects the router from the store for nine seconds.
 func regainAfterOutage(c *registry.Controller) {
 	c.Listed(registered(serverCount, 1), serverCount)
-	c.Lost()
+	c.StoreLost()
 	time.Sleep(9 * time.Second)
-	c.Regained()
+	c.StoreRestored()
 }
 
 // Guards against requests to servers that stopped while the routers, and only they, were
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -54,7 +54,7 @@
 	servers      *placement.Servers
 	rng          *rand.Rand
 	missing      map[string]time.Time // until when each server without registration is kept
-	regainedAt   time.Time            // when the connection to the store was last regained
+	restoredAt   time.Time            // when the connection to the store was last restored
 	lapseChecked bool                 // whether the lapse check has been done since then
 	lapsed       bool                 // whether registrations lapsed in the last outage
 	listed       bool
@@ -268,8 +268,8 @@
 	c.logSuppressed()
 }
 
-// Lost implements follow.Handler. Known servers stay in use.
-func (c *Controller) Lost() {}
+// StoreLost implements follow.Handler. Known servers stay in use.
+func (c *Controller) StoreLost() {}
 
 // apply applies a registration. A registration that cannot be decoded removes the server that
 // it replaces, until that server registers again.
--- a/controller/registry/registry_test.go
+++ b/controller/registry/registry_test.go
@@ -60,12 +60,12 @@
 func TestLapsedServersAreKept(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
-		c.Lost()
+		c.StoreLost()
 		time.Sleep(5 * time.Second)
 		if count(c) != 2 {
 			t.Fatal("removed during an outage of the store")
 		}
-		c.Regained()
+		c.StoreRestored()
 		c.Listed(nil, newest)
 		time.Sleep(2 * time.Second)
 		if count(c) != 2 {
@@ -167,9 +167,9 @@
 func TestDeletionAfterReturnIsFollowed(t *testing.T) {
 	run(t, func(c *registry.Controller) {
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
-		c.Lost()
+		c.StoreLost()
 		time.Sleep(5 * time.Second)
-		c.Regained()
+		c.StoreRestored()
 		c.Listed([]store.Object{entry("a", 1, false), entry("b", 2, false)}, newest)
 		time.Sleep(250 * time.Millisecond)
 		c.Changed([]store.Object{gone("a")})
--- a/controller/roster/replica.go
+++ b/controller/roster/replica.go
@@ -85,11 +85,11 @@
 	c.changes.Trim(len(c.entries))
 }
 
-// Lost implements follow.Handler.
-func (c *Controller) Lost() {}
+// StoreLost implements follow.Handler.
+func (c *Controller) StoreLost() {}
 
-// Regained implements follow.Handler.
-func (c *Controller) Regained() {}
+// StoreRestored implements follow.Handler.
+func (c *Controller) StoreRestored() {}
 
 // ApplyUpdate implements updates.Replica. It ignores an update older than the known revision.
 func (c *Controller) ApplyUpdate(changed []changelog.Received, revision int64) {
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -395,8 +395,8 @@
 		Configs: r.configs, Servers: r.servers, Members: known, Calls: fleetCalls{f},
 		Verdicts: r.verdicts, Limits: r.limits, Evacuations: r.evacuations,
 		Self: self.ID + "/1", Domain: self.Domain,
-		StoreCallFailed: func() bool { return count((*follow.Follower).Lost) > 0 },
-		StoreFresh:      func() bool { return count((*follow.Follower).Fresh) == len(followers) },
+		StoreCallFailed: func() bool { return count((*follow.Follower).StoreLost) > 0 },
+		StoreFresh:      func() bool { return count((*follow.Follower).StoreFresh) == len(followers) },
 		AsOf:            func() updates.Timestamps { return asOf(followers) },
 		StaleAfter:      f.staleAfter,
 		RequestInterval: func() time.Duration { return f.parts().RequestInterval },
@@ -410,7 +410,7 @@
 	following := func(kind string, handler follow.Handler) follow.Options {
 		return follow.Options{
 			Store: f.storeOf(n), Prefix: kind, Handler: handler, Role: r.updates.Role,
-			Bound: f.parts, Changed: r.updates.RoleChanged, IsRelay: r.updates.IsRelay, Answered: r.updates.StoreAnswered, Log: zap.NewNop(),
+			Bound: f.parts, RoleChanged: r.updates.RoleChanged, IsRelay: r.updates.IsRelay, Answered: r.updates.StoreAnswered, Log: zap.NewNop(),
 			Probe:             routerStore{f.objects, n, f}.probe,
 			AnsweredElsewhere: r.updates.RecentlyUpdated,
 		}
@@ -419,11 +419,11 @@
 	registrations.ReceivedRevision = r.servers.Revision
 	servers := follow.New(registrations)
 	config := following("config", r.configs)
-	config.Prober = servers.Fresh
+	config.ProbedElsewhere = servers.StoreFresh
 	followers = []*follow.Follower{follow.New(config), servers}
 	if f.evacuates {
 		evacuating := following("evacuated", r.evacuations)
-		evacuating.Prober = servers.Fresh
+		evacuating.ProbedElsewhere = servers.StoreFresh
 		evacuating.Bound = evacuationParts
 		followers = append(followers, follow.New(evacuating))
 	}
--- a/controller/updates/receive.go
+++ b/controller/updates/receive.go
@@ -78,7 +78,7 @@
 		return
 	}
 	if !c.UpToDate() && !c.StoreFresh() {
-		c.Servers.Regained()
+		c.Servers.StoreRestored()
 	}
 	c.Evacuations.Apply(answer.Evacuated, answer.EvacuatedAt, id)
 	received := timestampsOf(answer.Ages, sent)
--- a/controller/updates/roles.go
+++ b/controller/updates/roles.go
@@ -14,7 +14,7 @@
 // ranking all would stop as soon as they update each other, and no router would watch the store.
 func (c *Controller) Role() follow.Role {
 	if !c.Large() || c.isWatcher() {
-		return follow.Watches
+		return follow.Watcher
 	}
 	if c.isReadingList() || c.awaitsServers() {
 		return follow.Idle // the store would send the same list
@@ -65,7 +65,7 @@
 // watch them. In a small fleet routers introduce themselves to each other.
 func (c *Controller) RosterRole() follow.Role {
 	if c.Large() && c.isWatcher() {
-		return follow.Watches
+		return follow.Watcher
 	}
 	return follow.Idle
 }
--- a/controller/updates/rolewatch.go
+++ b/controller/updates/rolewatch.go
@@ -60,7 +60,7 @@
 
 // nextRoleCheck returns the time until the next check of the role.
 func (c *Controller) nextRoleCheck(role follow.Role) time.Duration {
-	if role == follow.Watches {
+	if role == follow.Watcher {
 		return maxRoleCheckInterval
 	}
 	if role == follow.Fallback {
@@ -81,7 +81,7 @@
 	} {
 		switch {
 		case kind.limit == 0:
-		case kind.age == peer.Unheard:
+		case kind.age == peer.UnknownAge:
 			return 0
 		default:
 			left = min(left, kind.limit-kind.age)
--- a/controller/updates/slow_test.go
+++ b/controller/updates/slow_test.go
@@ -50,7 +50,7 @@
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
 			// the time of an answer's transfer, and the time until the next answer
-			if age := p.asking.Ages().Servers; age == peer.Unheard || age > 2*takes {
+			if age := p.asking.Ages().Servers; age == peer.UnknownAge || age > 2*takes {
 				t.Fatalf("the router's state is %v old", age)
 			}
 		}
--- a/controller/updates/timestamps.go
+++ b/controller/updates/timestamps.go
@@ -34,7 +34,7 @@
 func (t Timestamps) ages(now time.Time) peer.Ages {
 	since := func(t time.Time) time.Duration {
 		if t.IsZero() {
-			return peer.Unheard
+			return peer.UnknownAge
 		}
 		return max(now.Sub(t), 0)
 	}
@@ -50,7 +50,7 @@
 // kind is not limited.
 func withinLimits(ages, limits peer.Ages) bool {
 	holds := func(age, limit time.Duration) bool {
-		return limit == 0 || age != peer.Unheard && age <= limit
+		return limit == 0 || age != peer.UnknownAge && age <= limit
 	}
 	return holds(ages.Config, limits.Config) && holds(ages.Servers, limits.Servers) && holds(ages.Evacuated, limits.Evacuated)
 }
--- a/gateway/stale_config_test.go
+++ b/gateway/stale_config_test.go
@@ -26,7 +26,7 @@
 		within:                      result.UnknownService,
 		within + 1*time.Millisecond: result.Starting,
 		8 * time.Second:             result.Starting,
-		peer.Unheard:                result.Starting,
+		peer.UnknownAge:             result.Starting,
 	} {
 		g := &Gateway{Parts: Parts{Config: agedConfig(age), ConfigBound: within}}
 		if got := g.unknownRefusal(unknown); got.Code != want {
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -189,11 +189,11 @@
 }
 
 // Ages holds the staleness of a router's state by kind of object: the time since the router had all
-// changes in the store. It is Unheard if the router has received no state.
+// changes in the store. It is UnknownAge if the router has received no state.
 type Ages struct{ Config, Servers, Evacuated time.Duration }
 
-// Unheard is the age of state that was never received.
-const Unheard time.Duration = -1
+// UnknownAge is the age of state that was never received.
+const UnknownAge time.Duration = -1
 
 // Changes holds changes of one kind of registrations.
 type Changes struct {
--- a/server/provision.go
+++ b/server/provision.go
@@ -125,7 +125,7 @@
 	servers.ReceivedRevision = s.servers.Revision
 	s.followServers = follow.New(servers)
 	configs := s.followerOptions(s.platform.ConfigKind, s.configs, s.settings.Bounds.Apply.Std())
-	configs.Prober = s.followServers.Fresh
+	configs.ProbedElsewhere = s.followServers.StoreFresh
 	s.followConfigs = follow.New(configs)
 	routers := s.followerOptions(roster.Kind, s.roster, routerListBound)
 	routers.Role = s.updates.RosterRole
@@ -133,7 +133,7 @@
 	s.followRouters = follow.New(routers)
 	if within := s.settings.Bounds.Evacuate.Std(); within > 0 {
 		evacuations := s.followerOptions(s.platform.EvacuationKind, s.evacuations, within)
-		evacuations.Prober = s.followServers.Fresh
+		evacuations.ProbedElsewhere = s.followServers.StoreFresh
 		s.followEvacuations = follow.New(evacuations)
 	}
 }
@@ -142,17 +142,17 @@
 // effect at every router within the given time.
 func (s *Server) followerOptions(kind string, h follow.Handler, within time.Duration) follow.Options {
 	return follow.Options{
-		Store:    s.store,
-		Prefix:   kind,
-		Handler:  h,
-		Role:     s.updates.Role,
-		Fleet:    s.roster.Size,
-		IsRelay:  s.updates.IsRelay,
-		Bound:    func() bound.Parts { return s.parts(within) },
-		Changed:  s.updates.RoleChanged,
-		Answered: s.updates.StoreAnswered,
-		Probe:    s.probeStore,
-		Log:      s.log,
+		Store:       s.store,
+		Prefix:      kind,
+		Handler:     h,
+		Role:        s.updates.Role,
+		Fleet:       s.roster.Size,
+		IsRelay:     s.updates.IsRelay,
+		Bound:       func() bound.Parts { return s.parts(within) },
+		RoleChanged: s.updates.RoleChanged,
+		Answered:    s.updates.StoreAnswered,
+		Probe:       s.probeStore,
+		Log:         s.log,
 
 		AnsweredElsewhere: s.updates.RecentlyUpdated,
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -234,7 +234,7 @@
 // lastStoreCallFailed reports whether the store left this router's last call unanswered.
 func (s *Server) lastStoreCallFailed() bool {
 	for _, f := range s.followers() {
-		if f.Lost() {
+		if f.StoreLost() {
 			return true
 		}
 	}
@@ -248,7 +248,7 @@
 // storeFresh reports whether this router's copies of all followed objects are current.
 func (s *Server) storeFresh() bool {
 	for _, f := range s.followers() {
-		if !f.Fresh() {
+		if !f.StoreFresh() {
 			return false
 		}
 	}
--- a/server/stale.go
+++ b/server/stale.go
@@ -33,10 +33,10 @@
 	for _, kind := range []struct{ age, bound time.Duration }{
 		{ages.Config, bounds.Config}, {ages.Servers, bounds.Servers}, {ages.Evacuated, bounds.Evacuated},
 	} {
-		if kind.bound == 0 || kind.age != peer.Unheard && kind.age+wait <= kind.bound {
+		if kind.bound == 0 || kind.age != peer.UnknownAge && kind.age+wait <= kind.bound {
 			continue
 		}
-		if !exceeded || leastAge == peer.Unheard || kind.age != peer.Unheard && kind.age < leastAge {
+		if !exceeded || leastAge == peer.UnknownAge || kind.age != peer.UnknownAge && kind.age < leastAge {
 			leastAge = kind.age
 		}
 		exceeded = true
@@ -48,7 +48,7 @@
 // its data of the given age was current, and got no answer.
 func (s *Server) unansweredSince(age time.Duration) bool {
 	var known time.Time
-	if age != peer.Unheard {
+	if age != peer.UnknownAge {
 		known = clock.Now().Add(-age)
 	}
 	return s.lastStoreCallFailed() && (s.link.UnansweredSince(known) || s.isAlone())
--- a/server/stale_test.go
+++ b/server/stale_test.go
@@ -37,7 +37,7 @@
 		change(&a)
 		return a
 	}
-	unheard := peer.Ages{Config: peer.Unheard, Servers: peer.Unheard, Evacuated: peer.Unheard}
+	unknownAges := peer.Ages{Config: peer.UnknownAge, Servers: peer.UnknownAge, Evacuated: peer.UnknownAge}
 	noEvacuations := peer.Ages{Config: 4 * time.Second, Servers: 3 * time.Second}
 	for name, c := range map[string]struct {
 		ages, bounds peer.Ages
@@ -49,11 +49,11 @@
 		"configuration":         {with(func(a *peer.Ages) { a.Config = 5 * time.Second }), bounds, 0, 5 * time.Second, true},
 		"servers":               {with(func(a *peer.Ages) { a.Servers = 3100 * time.Millisecond }), bounds, 0, 3100 * time.Millisecond, true},
 		"evacuations":           {with(func(a *peer.Ages) { a.Evacuated = 3 * time.Second }), bounds, 0, 3 * time.Second, true},
-		"no evacuations":        {with(func(a *peer.Ages) { a.Evacuated = peer.Unheard }), noEvacuations, 0, 0, false},
+		"no evacuations":        {with(func(a *peer.Ages) { a.Evacuated = peer.UnknownAge }), noEvacuations, 0, 0, false},
 		"waits at the link":     {known, bounds, 1500 * time.Millisecond, time.Second, true},
-		"nothing is known":      {unheard, bounds, 0, peer.Unheard, true},
+		"nothing is known":      {unknownAges, bounds, 0, peer.UnknownAge, true},
 		"two, the newer counts": {peer.Ages{Config: 9 * time.Second, Servers: 5 * time.Second}, noEvacuations, 0, 5 * time.Second, true},
-		"one unheard, one old":  {peer.Ages{Config: peer.Unheard, Servers: 5 * time.Second}, noEvacuations, 0, 5 * time.Second, true},
+		"one unheard, one old":  {peer.Ages{Config: peer.UnknownAge, Servers: 5 * time.Second}, noEvacuations, 0, 5 * time.Second, true},
 	} {
 		if least, is := outdated(c.ages, c.bounds, c.wait); least != c.least || is != c.outdated {
 			t.Errorf("%s: outdated %v, least age %v", name, is, least)
