--- a/controller/registry/cold.go
+++ b/controller/registry/cold.go
@@ -13,8 +13,8 @@
 
 // Warmup limits the requests that the servers of a service accept while they are cold.
 type Warmup struct {
-	// Lasts is how long a server stays cold after its start.
-	Lasts time.Duration
+	// Duration is how long a server stays cold after its start.
+	Duration time.Duration
 	// Rate is the rate limit of a cold server for all routers together; 0 disables
 	// warm-up.
 	Rate limiter.Rate
@@ -51,7 +51,7 @@
 			continue
 		}
 		for _, s := range c.servers.In(domain) {
-			c.servers.SetCold(s.Incarnation(), now.Add(c.warmups[s.Service].Lasts))
+			c.servers.SetCold(s.Incarnation(), now.Add(c.warmups[s.Service].Duration))
 		}
 	}
 	c.evacuated = domains
--- a/controller/registry/cold_test.go
+++ b/controller/registry/cold_test.go
@@ -29,9 +29,9 @@
 
 func withCold(c *registry.Controller) {
 	c.SetLimits(limits.New(limits.Options{
-		Self: "self", Fleet: singleRouter{}, Settled: func() bool { return true }, Runs: c.TakesWork, Log: zap.NewNop(),
+		Self: "self", Fleet: singleRouter{}, Settled: func() bool { return true }, Runs: c.AcceptsRequests, Log: zap.NewNop(),
 	}))
-	c.SetWarmups(map[string]registry.Warmup{"svc": {Lasts: 3 * time.Second, Rate: coldRate}})
+	c.SetWarmups(map[string]registry.Warmup{"svc": {Duration: 3 * time.Second, Rate: coldRate}})
 }
 
 func coldEntry(id string, version int64, cold time.Duration) store.Object {
@@ -47,10 +47,10 @@
 		if !ok {
 			continue
 		}
-		if p, ok := c.Admit(context.Background(), s, 0); ok && c.Claim(s, p) {
+		if p, ok := c.Admit(context.Background(), s, 0); ok && c.MaySend(s, p) {
 			n++
 		}
-		c.Ended(s.Incarnation(), placement.Answered)
+		c.RecordOutcome(s.Incarnation(), placement.Answered)
 	}
 	return n
 }
@@ -80,18 +80,18 @@
 		s, _ := c.Pick(placement.Query{Service: "svc"})
 		admitted, _ := c.Admit(context.Background(), s, 0)
 		c.Changed([]store.Object{coldEntry("a", 2, 3*time.Second)})
-		if c.Claim(s, admitted) {
+		if c.MaySend(s, admitted) {
 			t.Error("sent without a permit")
 		}
 		permit, ok := c.Admit(context.Background(), s, 0)
-		if !ok || !c.Claim(s, permit) {
+		if !ok || !c.MaySend(s, permit) {
 			t.Error("the permit that is due was not granted")
 		}
 		if _, ok := c.Admit(context.Background(), s, 0); ok {
 			t.Error("a second permit was granted at once")
 		}
 		time.Sleep(2 * limiter.PermitLife)
-		if c.Claim(s, permit) {
+		if c.MaySend(s, permit) {
 			t.Error("sent with a permit that has expired")
 		}
 	})
--- a/controller/registry/lapse_test.go
+++ b/controller/registry/lapse_test.go
@@ -50,7 +50,7 @@
 				regainAfterOutage(c)
 				answer(c)
 				for _, id := range []string{"s8", "s9"} {
-					if c.TakesWork(incarnationOf(id)) {
+					if c.AcceptsRequests(incarnationOf(id)) {
 						t.Errorf("%s has left and still gets requests", id)
 					}
 				}
--- a/controller/registry/rates.go
+++ b/controller/registry/rates.go
@@ -63,9 +63,9 @@
 	return c.limits.Admit(ctx, t)
 }
 
-// Claim reports whether an admitted request may be sent now to the server process that was
+// MaySend reports whether an admitted request may be sent now to the server process that was
 // picked for it.
-func (c *Controller) Claim(s placement.Server, p limits.Permit) bool {
+func (c *Controller) MaySend(s placement.Server, p limits.Permit) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -330,41 +330,41 @@
 	return s, ok
 }
 
-// TakesWork reports whether a server process runs and is not leaving.
-func (c *Controller) TakesWork(in placement.Incarnation) bool {
+// AcceptsRequests reports whether a server process runs and is not leaving.
+func (c *Controller) AcceptsRequests(in placement.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.servers.TakesWork(in)
+	return c.servers.AcceptsRequests(in)
 }
 
-// Read records that a server has processed the prompt of a request, or will no
+// RecordPromptRead records that a server has processed the prompt of a request, or will no
 // longer process it.
-func (c *Controller) Read(in placement.Incarnation, tokens int64) {
+func (c *Controller) RecordPromptRead(in placement.Incarnation, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers.Read(in, tokens)
+	c.servers.RecordPromptRead(in, tokens)
 }
 
-// Released undoes Pick for a request that was not sent.
-func (c *Controller) Released(in placement.Incarnation, tokens int64) {
+// CancelPick undoes Pick for a request that was not sent.
+func (c *Controller) CancelPick(in placement.Incarnation, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers.Read(in, tokens)
-	c.servers.Ended(in, placement.Neutral)
+	c.servers.RecordPromptRead(in, tokens)
+	c.servers.RecordOutcome(in, placement.Neutral)
 }
 
-// Paced records the time between two events of a stream.
-func (c *Controller) Paced(in placement.Incarnation, gap time.Duration) {
+// RecordEventInterval records the time between two events of a stream.
+func (c *Controller) RecordEventInterval(in placement.Incarnation, gap time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers.Paced(in, gap)
+	c.servers.RecordEventInterval(in, gap)
 }
 
-// Ended records the outcome of a request to a server process.
-func (c *Controller) Ended(in placement.Incarnation, outcome placement.Outcome) {
+// RecordOutcome records the outcome of a request to a server process.
+func (c *Controller) RecordOutcome(in placement.Incarnation, outcome placement.Outcome) {
 	c.mu.Lock()
 	was := c.servers.IsEjected(in)
-	down := c.servers.Ended(in, outcome)
+	down := c.servers.RecordOutcome(in, outcome)
 	c.mu.Unlock()
 	if down && !was {
 		c.log.Warn("server ejected", zap.String("server", in.ID), zap.Int64("started", in.Started))
@@ -379,8 +379,8 @@
 	c.log.Info("server replaced at its address", zap.String("server", in.ID), zap.Int64("started", in.Started))
 }
 
-// Draw returns a random number in [0, n); n must be positive.
-func (c *Controller) Draw(n int) int {
+// RandomInt returns a random number in [0, n); n must be positive.
+func (c *Controller) RandomInt(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -900,7 +900,7 @@
 // allUsable reports every server as accepting requests.
 type allUsable struct{}
 
-func (allUsable) TakesWork(placement.Incarnation) bool { return true }
+func (allUsable) AcceptsRequests(placement.Incarnation) bool { return true }
 
 func (r *testRouter) addrOf(id string) string {
 	addr, _ := r.members.Addr(id)
--- a/controller/updates/lists_test.go
+++ b/controller/updates/lists_test.go
@@ -125,10 +125,10 @@
 		p.theirs.Listed([]store.Object{registration("a", 20)}, 40) // it knows b as of version 2
 		go p.asking.Run(t.Context())
 		time.Sleep(2 * time.Second)
-		if p.ours.TakesWork(placement.Incarnation{ID: "b"}) {
+		if p.ours.AcceptsRequests(placement.Incarnation{ID: "b"}) {
 			t.Error("a deleted server stays in use")
 		}
-		if !p.ours.TakesWork(placement.Incarnation{ID: "a"}) {
+		if !p.ours.AcceptsRequests(placement.Incarnation{ID: "a"}) {
 			t.Error("a registered server is not in use")
 		}
 	})
@@ -147,7 +147,7 @@
 			p.asking.Calls = fixedList{p, answer}
 			go p.asking.Run(t.Context())
 			time.Sleep(3 * time.Second)
-			if !p.ours.TakesWork(placement.Incarnation{ID: "b"}) || p.ours.Revision() != 30 {
+			if !p.ours.AcceptsRequests(placement.Incarnation{ID: "b"}) || p.ours.Revision() != 30 {
 				t.Errorf("%s: the list was applied, at revision %d", name, p.ours.Revision())
 			}
 		})
--- a/controller/updates/pair_test.go
+++ b/controller/updates/pair_test.go
@@ -112,7 +112,7 @@
 		time.Sleep(2 * time.Second)
 		p.fresh = false
 		time.Sleep(2 * time.Second)
-		if p.ours.TakesWork(placement.Incarnation{ID: "b"}) {
+		if p.ours.AcceptsRequests(placement.Incarnation{ID: "b"}) {
 			t.Error("a server that left between two answers of the store stays in use")
 		}
 	})
@@ -128,7 +128,7 @@
 		p.fresh = true
 		go p.asking.Run(t.Context())
 		time.Sleep(2 * time.Second)
-		if !p.ours.TakesWork(placement.Incarnation{ID: "c"}) {
+		if !p.ours.AcceptsRequests(placement.Incarnation{ID: "c"}) {
 			t.Error("a server was dropped by a list that is older than its registration")
 		}
 	})
--- a/controller/updates/propagation_test.go
+++ b/controller/updates/propagation_test.go
@@ -115,7 +115,7 @@
 	}
 	for _, d := range p.left {
 		late := time.Since(d.at)
-		if late <= leaveBound-p.parts().Delivery || !r.servers.TakesWork(placement.Incarnation{ID: d.id}) {
+		if late <= leaveBound-p.parts().Delivery || !r.servers.AcceptsRequests(placement.Incarnation{ID: d.id}) {
 			continue
 		}
 		p.violated[r.number] = true
--- a/controller/verdicts/liveness.go
+++ b/controller/verdicts/liveness.go
@@ -40,7 +40,7 @@
 	defer c.mu.Unlock()
 	check := c.checks[s.Incarnation()]
 	if check == nil {
-		check = &livenessCheck{server: s, planned: !c.Servers.TakesWork(s.Incarnation()), requests: map[poison.Fingerprint]bool{}, done: make(chan struct{})}
+		check = &livenessCheck{server: s, planned: !c.Servers.AcceptsRequests(s.Incarnation()), requests: map[poison.Fingerprint]bool{}, done: make(chan struct{})}
 		c.checks[s.Incarnation()] = check
 		go c.checkLiveness(check)
 	}
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -33,8 +33,8 @@
 
 // Servers are the backend servers that this router knows.
 type Servers interface {
-	// TakesWork reports whether a process is running and not draining.
-	TakesWork(in placement.Incarnation) bool
+	// AcceptsRequests reports whether a process is running and not draining.
+	AcceptsRequests(in placement.Incarnation) bool
 }
 
 // Fleet are the other routers.
--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -36,7 +36,7 @@
 // servers reports every process as running, except those that are draining.
 type servers struct{ leaving map[string]bool }
 
-func (s servers) TakesWork(in placement.Incarnation) bool { return !s.leaving[in.ID] }
+func (s servers) AcceptsRequests(in placement.Incarnation) bool { return !s.leaving[in.ID] }
 
 func request(body string) poison.Fingerprint {
 	return poison.Identity{Account: "acme", Body: []byte(body)}.Fingerprint()
--- a/filter/forward/forward_test.go
+++ b/filter/forward/forward_test.go
@@ -39,7 +39,7 @@
 // noneDraining reports every server as accepting requests.
 type noneDraining struct{}
 
-func (noneDraining) TakesWork(placement.Incarnation) bool { return true }
+func (noneDraining) AcceptsRequests(placement.Incarnation) bool { return true }
 
 type emptyConfig struct{}
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -156,7 +156,7 @@
 // still be sent on it.
 func (a *attempt) maySend() bool {
 	a.recordServersAge()
-	return !a.deadlinePassed() && !callerGone(a.r) && a.g.staleRefusal() == nil && a.g.Servers.Claim(a.server, a.permit)
+	return !a.deadlinePassed() && !callerGone(a.r) && a.g.staleRefusal() == nil && a.g.Servers.MaySend(a.server, a.permit)
 }
 
 // priorityThresholds are the prompt sizes, in new tokens, at which a request yields to smaller
@@ -184,7 +184,7 @@
 		return
 	}
 	a.promptRead = true
-	a.g.Servers.Read(a.server.Incarnation(), a.newTokens)
+	a.g.Servers.RecordPromptRead(a.server.Incarnation(), a.newTokens)
 }
 
 // connectionLimit returns how many of the server's connections this router may use; 0 is no
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -234,6 +234,6 @@
 	a.record.after = clock.Since(c.arrived)
 	c.attempts = append(c.attempts, a.record)
 	a.recordPromptRead()
-	c.g.Servers.Ended(a.server.Incarnation(), a.serverOutcome)
+	c.g.Servers.RecordOutcome(a.server.Incarnation(), a.serverOutcome)
 	c.g.Metrics.attempt(c.service.Name, a.outcomeLabel)
 }
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -47,7 +47,7 @@
 		if ok {
 			return &attempt{call: c, server: server, permit: permit, record: attemptRecord{server: server.ID, serversAge: unknownAge}}, nil
 		}
-		c.g.Servers.Released(server.Incarnation(), q.Tokens)
+		c.g.Servers.CancelPick(server.Incarnation(), q.Tokens)
 		if err := ctx.Err(); err != nil {
 			return nil, c.timeoutRefusal(err)
 		}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -214,7 +214,7 @@
 func (a *attempt) recordEventTiming(events int) {
 	now := clock.Now()
 	if !a.lastEventAt.IsZero() {
-		a.g.Servers.Paced(a.server.Incarnation(), now.Sub(a.lastEventAt)/time.Duration(events))
+		a.g.Servers.RecordEventInterval(a.server.Incarnation(), now.Sub(a.lastEventAt)/time.Duration(events))
 	}
 	a.lastEventAt = now
 	a.stream.recordProgress(now)
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -217,7 +217,7 @@
 	if len(split) == 1 || total == 0 {
 		return split[0]
 	}
-	n := c.g.Servers.Draw(total)
+	n := c.g.Servers.RandomInt(total)
 	for _, s := range split {
 		n -= max(s.Weight, 0)
 		if n < 0 {
--- a/placement/interval.go
+++ b/placement/interval.go
@@ -31,8 +31,9 @@
 	promptMeanWeight = 0.02
 )
 
-// Paced updates the event interval of a server with the time between two events of a stream.
-func (f *Servers) Paced(in Incarnation, gap time.Duration) {
+// RecordEventInterval updates the event interval of a server with the time between two events of a
+// stream.
+func (f *Servers) RecordEventInterval(in Incarnation, gap time.Duration) {
 	s := f.lookup(in)
 	if s == nil || gap <= 0 {
 		return
--- a/placement/interval_test.go
+++ b/placement/interval_test.go
@@ -27,10 +27,10 @@
 func stream(f *placement.Servers, id string, gap time.Duration) {
 	for event := range 60 {
 		if event%5 == 4 {
-			f.Paced(incarnation(id), gap+eventDelay)
+			f.RecordEventInterval(incarnation(id), gap+eventDelay)
 			continue
 		}
-		f.Paced(incarnation(id), gap)
+		f.RecordEventInterval(incarnation(id), gap)
 	}
 }
 
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -28,15 +28,17 @@
 	}
 }
 
-// Read subtracts prompt tokens that a server has processed, or will not process any more.
-func (f *Servers) Read(in Incarnation, tokens int64) {
+// RecordPromptRead subtracts prompt tokens that a server has processed, or will not
+// process any more.
+func (f *Servers) RecordPromptRead(in Incarnation, tokens int64) {
 	if s := f.lookup(in); s != nil {
 		s.pending = max(s.pending-tokens, 0)
 	}
 }
 
-// Ended counts the end of a request and reports whether the server is ejected afterwards.
-func (f *Servers) Ended(in Incarnation, outcome Outcome) (ejected bool) {
+// RecordOutcome counts the end of a request and reports whether the server is ejected
+// afterwards.
+func (f *Servers) RecordOutcome(in Incarnation, outcome Outcome) (ejected bool) {
 	s := f.lookup(in)
 	if s == nil {
 		return false
--- a/placement/pick_test.go
+++ b/placement/pick_test.go
@@ -23,7 +23,7 @@
 			case 0:
 				f.Sent(in, int64(rapid.IntRange(0, 70000).Draw(t, "tokens")))
 			case 1:
-				f.Ended(in, placement.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome")))
+				f.RecordOutcome(in, placement.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome")))
 			case 2:
 				f.Leave(in)
 			case 3:
@@ -33,7 +33,7 @@
 			case 5:
 				f.Put(placement.Server{ID: in.ID, Service: "llm", Domain: "z0", Leaving: n%4 == 0})
 			case 6:
-				f.Paced(in, time.Duration(1+n)*time.Millisecond)
+				f.RecordEventInterval(in, time.Duration(1+n)*time.Millisecond)
 			}
 		}
 		f.SetEvacuated(rapid.SampledFrom([][]string{nil, {"z1"}, {"z0", "z2"}}).Draw(t, "evacuated"))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -81,7 +81,7 @@
 	// pending is the number of prompt tokens that the server has yet to process.
 	pending     int64
 	failureRate float64
-	// eventInterval is the estimate that Paced maintains, in seconds; 0 if unknown.
+	// eventInterval is the estimate that RecordEventInterval maintains, in seconds; 0 if unknown.
 	eventInterval          float64
 	consecutiveUnreachable int
 	ejected                bool
@@ -225,8 +225,8 @@
 	return s.Server, true
 }
 
-// TakesWork reports whether a process is registered and not leaving.
-func (f *Servers) TakesWork(in Incarnation) bool {
+// AcceptsRequests reports whether a process is registered and not leaving.
+func (f *Servers) AcceptsRequests(in Incarnation) bool {
 	s := f.lookup(in)
 	return s != nil && !s.Leaving
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -70,7 +70,7 @@
 	if got := pick(t, f, q); got == home {
 		t.Fatal("the busy server was chosen")
 	}
-	f.Read(incarnation(home), 50000)
+	f.RecordPromptRead(incarnation(home), 50000)
 	if got := pick(t, f, q); got != home {
 		t.Fatalf("got %s after the prompt was read, want %s", got, home)
 	}
@@ -94,7 +94,7 @@
 	f := fleet(2)
 	for i := range 2 {
 		f.Sent(incarnation("s00"), 0)
-		if down := f.Ended(incarnation("s00"), placement.Silent); down != (i == 1) {
+		if down := f.RecordOutcome(incarnation("s00"), placement.Silent); down != (i == 1) {
 			t.Fatalf("ejected after %d failures: %t", i+1, down)
 		}
 	}
@@ -115,7 +115,7 @@
 	f := fleet(4)
 	for range 30 {
 		f.Sent(incarnation("s02"), 0)
-		f.Ended(incarnation("s02"), placement.Failed)
+		f.RecordOutcome(incarnation("s02"), placement.Failed)
 	}
 	for a := uint64(1); a < 100; a++ {
 		if got := pick(t, f, placement.Query{Affinity: a}); got == "s02" {
@@ -125,7 +125,7 @@
 	for range 30 {
 		for _, id := range []string{"s00", "s01", "s03"} {
 			f.Sent(incarnation(id), 0)
-			f.Ended(incarnation(id), placement.Failed)
+			f.RecordOutcome(incarnation(id), placement.Failed)
 		}
 	}
 	chosen := map[string]bool{}
@@ -163,7 +163,7 @@
 		"unreachable": func(f *placement.Servers) {
 			for range 2 {
 				f.Sent(first.Incarnation(), 0)
-				f.Ended(first.Incarnation(), placement.Silent)
+				f.RecordOutcome(first.Incarnation(), placement.Silent)
 			}
 		},
 	} {
@@ -196,9 +196,9 @@
 	}
 	f.Put(second)
 	for range 3 {
-		f.Read(first.Incarnation(), 70000)
-		f.Ended(first.Incarnation(), placement.Silent)
-		f.Paced(first.Incarnation(), 1)
+		f.RecordPromptRead(first.Incarnation(), 70000)
+		f.RecordOutcome(first.Incarnation(), placement.Silent)
+		f.RecordEventInterval(first.Incarnation(), 1)
 	}
 	f.Leave(first.Incarnation())
 	if f.IsEjected(second.Incarnation()) || len(f.Ejected()) > 0 {
@@ -227,8 +227,8 @@
 	f.Remove("s00")
 	f.Put(placement.Server{ID: "s00", Service: "llm"})
 	for range 3 {
-		f.Read(incarnation("s00"), 9000)
-		f.Ended(incarnation("s00"), placement.Answered)
+		f.RecordPromptRead(incarnation("s00"), 9000)
+		f.RecordOutcome(incarnation("s00"), placement.Answered)
 	}
 	f.Sent(incarnation("s00"), 9000)
 	if got := pick(t, f, placement.Query{}); got != "s01" {
--- a/router/router.go
+++ b/router/router.go
@@ -161,8 +161,8 @@
 // draining.
 type activeServers struct{ health *health.Controller }
 
-// TakesWork implements verdicts.Servers.
-func (s activeServers) TakesWork(in placement.Incarnation) bool {
+// AcceptsRequests implements verdicts.Servers.
+func (s activeServers) AcceptsRequests(in placement.Incarnation) bool {
 	return !slices.Contains(s.health.Leaving(), in.ID)
 }
 
--- a/server/cold.go
+++ b/server/cold.go
@@ -25,7 +25,7 @@
 		Self:    s.settings.Instance.ID,
 		Fleet:   limits.PeerFleet{Audience: s.audience(), Client: s.peers},
 		Settled: s.rosterSettled,
-		Runs:    s.servers.TakesWork,
+		Runs:    s.servers.AcceptsRequests,
 		Updated: s.updatedByRelays,
 		Log:     s.log,
 
@@ -43,7 +43,7 @@
 	all := map[string]registry.Warmup{}
 	for name, service := range c.Services {
 		if service.WarmupRate > 0 {
-			all[name] = registry.Warmup{Lasts: service.Warmup, Rate: limiter.Rate(service.WarmupRate)}
+			all[name] = registry.Warmup{Duration: service.Warmup, Rate: limiter.Rate(service.WarmupRate)}
 		}
 	}
 	return all
