--- a/controller/health/health.go
+++ b/controller/health/health.go
@@ -134,20 +134,20 @@
 	}
 	c.Load(id, h.InFlight)
 	if h.Leaving {
-		c.Left(id)
+		c.ReportLeaving(id)
 	}
 }
 
-// Left marks a server as leaving and notifies the other routers if it was not
+// ReportLeaving marks a server as leaving and notifies the other routers if it was not
 // marked before.
-func (c *Controller) Left(id string) {
-	if c.markLeaving(id) {
+func (c *Controller) ReportLeaving(id string) {
+	if c.recordLeaving(id) {
 		c.log.Info("backend server is leaving", zap.String("server", id))
 		go c.notifyRouters(id)
 	}
 }
 
-func (c *Controller) markLeaving(id string) (changed bool) {
+func (c *Controller) recordLeaving(id string) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.setLeaving(id)
@@ -169,17 +169,17 @@
 	return slices.Sorted(maps.Keys(c.leaving))
 }
 
-// learnPeers is the number of routers that a new router asks for leaving servers.
-const learnPeers = 3
+// fetchPeers is the number of routers that a new router asks for leaving servers.
+const fetchPeers = 3
 
-// Learn asks a few other routers which servers are leaving, so that a router that has
+// FetchLeaving asks a few other routers which servers are leaving, so that a router that has
 // just started does not send requests to them.
-func (c *Controller) Learn(ctx context.Context) {
+func (c *Controller) FetchLeaving(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
 	asked := 0
 	for _, other := range c.members.Members() {
-		if other.ID == c.members.Self().ID || asked == learnPeers {
+		if other.ID == c.members.Self().ID || asked == fetchPeers {
 			continue
 		}
 		resp, err := peer.Call[peer.Empty, peer.LeftAnswer](ctx, c.peers, other.Addr, peer.MethodLeft, &peer.Empty{})
@@ -188,20 +188,20 @@
 		}
 		asked++
 		for _, id := range resp.Servers {
-			c.Heard(id)
+			c.MarkLeaving(id)
 		}
 	}
 }
 
-// Heard marks a server as leaving after a notice of another router.
-func (c *Controller) Heard(id string) { c.markLeaving(id) }
+// MarkLeaving marks a server as leaving after a notice of another router.
+func (c *Controller) MarkLeaving(id string) { c.recordLeaving(id) }
 
 func (c *Controller) notifyRouters(id string) {
-	Tell(c.members, c.peers, &peer.LeavingRequest{Kind: "backend", ID: id})
+	SendLeaving(c.members, c.peers, &peer.LeavingRequest{Kind: "backend", ID: id})
 }
 
-// Tell sends a leaving notice once to each other router.
-func Tell(m *members.Controller, p *peer.Client, notice *peer.LeavingRequest) {
+// SendLeaving sends a leaving notice once to each other router.
+func SendLeaving(m *members.Controller, p *peer.Client, notice *peer.LeavingRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
--- a/filter/forward/forward.go
+++ b/filter/forward/forward.go
@@ -42,8 +42,8 @@
 	Started(id string)
 	Finished(id string, failed bool)
 	Load(id string, load float64)
-	// Left records that a server announced that it is draining.
-	Left(id string)
+	// ReportLeaving records that a server announced that it is draining.
+	ReportLeaving(id string)
 }
 
 // Config provides the configuration in force.
@@ -238,7 +238,7 @@
 		a.h.routes.Load(a.server.ID, resp.Load)
 	}
 	if resp.Leaving {
-		a.h.routes.Left(a.server.ID)
+		a.h.routes.ReportLeaving(a.server.ID)
 	}
 }
 
@@ -247,7 +247,7 @@
 func (a *attempt) chargeFailure(f *engine.Failure) *engine.Failure {
 	f.Server = a.server.ID
 	if f.Leaving {
-		a.h.routes.Left(a.server.ID)
+		a.h.routes.ReportLeaving(a.server.ID)
 	}
 	if f.Code == result.ForeignAnswer {
 		a.h.metrics.Dropped.Inc()
--- a/filter/forward/forward_test.go
+++ b/filter/forward/forward_test.go
@@ -34,7 +34,7 @@
 func (oneServer) Started(string)        {}
 func (oneServer) Finished(string, bool) {}
 func (oneServer) Load(string, float64)  {}
-func (oneServer) Left(string)           {}
+func (oneServer) ReportLeaving(string)  {}
 
 // noneDraining reports every server as accepting requests.
 type noneDraining struct{}
--- a/router/peers.go
+++ b/router/peers.go
@@ -83,7 +83,7 @@
 	if req.Kind == "router" {
 		r.members.SetLeaving(req.ID)
 	} else {
-		r.health.Heard(req.ID)
+		r.health.MarkLeaving(req.ID)
 	}
 	return &peer.Empty{}, nil
 }
@@ -129,7 +129,7 @@
 		return err
 	}
 	r.members.Refresh(ctx)
-	r.health.Learn(ctx)
+	r.health.FetchLeaving(ctx)
 	return nil
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -282,7 +282,7 @@
 func (r *Router) Stop(ctx context.Context) {
 	r.leaving.Store(true)
 	r.log.Info("leaving")
-	health.Tell(r.members, r.peers, &peer.LeavingRequest{Kind: "router", ID: r.settings.Instance.ID})
+	health.SendLeaving(r.members, r.peers, &peer.LeavingRequest{Kind: "router", ID: r.settings.Instance.ID})
 	r.members.SetLeaving(r.settings.Instance.ID)
 	_ = wait.For(ctx, r.settings.Requests.LeaveGrace.Std())
 	r.refusing.Store(true)
