--- a/controller/limits/fleet_test.go
+++ b/controller/limits/fleet_test.go
@@ -102,8 +102,8 @@
 	r.startedAt, r.stop, r.dead = begun, cancel, false
 	r.Controller = limits.New(limits.Options{
 		Self: idOf(r.number), Fleet: r, Log: zap.NewNop(),
-		Settled: func() bool { return time.Since(begun) >= 4*time.Second },
-		Runs:    func(placement.Incarnation) bool { return true },
+		KnowsFleet:   func() bool { return time.Since(begun) >= 4*time.Second },
+		IsRegistered: func(placement.Incarnation) bool { return true },
 	})
 	go r.Run(ctx)
 }
@@ -234,8 +234,8 @@
 	c, dead := r.Controller, r.dead
 	r.sim.attempts[rank]++
 	r.sim.mu.Unlock()
-	t := limits.Target{Server: server, Cold: cold, Rank: rank}
-	if dead || !c.Open(time.Now(), t) {
+	t := limits.Target{Server: server, ColdRate: cold, Rank: rank}
+	if dead || !c.MayAdmit(time.Now(), t) {
 		return
 	}
 	sent := time.Now()
--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -60,17 +60,17 @@
 	Self string
 	// Fleet may be nil: limits are then learnt but not enforced.
 	Fleet Fleet
-	// Settled reports whether this router knows the others. Until then it grants no permits.
-	Settled func() bool
-	// Runs reports whether a process is registered.
-	Runs func(placement.Incarnation) bool
+	// KnowsFleet reports whether this router knows the others. Until then it grants no permits.
+	KnowsFleet func() bool
+	// IsRegistered reports whether a process is registered.
+	IsRegistered func(placement.Incarnation) bool
 	// Updated reports whether relays send this router all reports, so that it asks no other
 	// router at its start; nil: none do.
 	Updated func() bool
-	// Driven is set if the owner calls Tick regularly, and CatchUp after each pause of the
+	// OwnerTicks is set if the owner calls Tick regularly, and CatchUp after each pause of the
 	// process.
-	Driven bool
-	Log    *zap.Logger
+	OwnerTicks bool
+	Log        *zap.Logger
 }
 
 // Counts are event counts since the start.
@@ -122,7 +122,7 @@
 // Run propagates limits and drops expired state until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	go c.spread.Run(ctx)
-	if !c.Driven {
+	if !c.OwnerTicks {
 		go c.spread.DetectPauses(ctx)
 		go c.runTicker(ctx)
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-// Tick drops expired state. The owner must call it a few times a second if Driven is set.
+// Tick drops expired state. The owner must call it a few times a second if OwnerTicks is set.
 func (c *Controller) Tick(now time.Time) {
 	if now.Sub(c.expiredAt) < expireInterval {
 		return
@@ -161,14 +161,14 @@
 }
 
 // expire drops the state of processes that are gone, and expired permits and denials. It calls
-// Runs without the lock, since Runs' owner calls this controller.
+// IsRegistered without the lock, since its implementer calls this controller.
 func (c *Controller) expire(now time.Time) {
 	c.mu.Lock()
 	known := c.table.Servers()
 	c.mu.Unlock()
 	gone := known[:0]
 	for _, server := range known {
-		if !c.Runs(server) {
+		if !c.IsRegistered(server) {
 			gone = append(gone, server)
 		}
 	}
--- a/controller/limits/peer_fleet.go
+++ b/controller/limits/peer_fleet.go
@@ -14,7 +14,7 @@
 
 // PeerFleet implements Fleet with calls to the other routers.
 type PeerFleet struct {
-	spread.Audience
+	spread.Recipients
 	Client *peer.Client
 }
 
@@ -27,10 +27,10 @@
 
 // Ask implements Fleet.
 func (o PeerFleet) Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
-	return spread.Call[peer.PermitRequest, peer.PermitAnswer](ctx, o.Audience, o.Client, id, peer.MethodPermit, req)
+	return spread.Call[peer.PermitRequest, peer.PermitAnswer](ctx, o.Recipients, o.Client, id, peer.MethodPermit, req)
 }
 
 // Report implements Fleet.
 func (o PeerFleet) Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error) {
-	return spread.Call[peer.LimitsRequest, peer.LimitsAnswer](ctx, o.Audience, o.Client, id, peer.MethodLimits, req)
+	return spread.Call[peer.LimitsRequest, peer.LimitsAnswer](ctx, o.Recipients, o.Client, id, peer.MethodLimits, req)
 }
--- a/controller/limits/permits.go
+++ b/controller/limits/permits.go
@@ -20,8 +20,8 @@
 // and the urgency of the request.
 type Target struct {
 	Server placement.Incarnation
-	// Cold is 0 for a process that is warm.
-	Cold limiter.Rate
+	// ColdRate is 0 for a process that is warm.
+	ColdRate limiter.Rate
 	// Rank is the urgency of the request.
 	Rank limiter.Rank
 }
@@ -38,23 +38,23 @@
 func (c *Controller) rate(t Target) (limiter.Rate, bool) {
 	named, limited := c.table.Limit(t.Server)
 	switch {
-	case limited && t.Cold > 0:
-		return min(named, t.Cold), true
+	case limited && t.ColdRate > 0:
+		return min(named, t.ColdRate), true
 	case limited:
 		return named, true
 	default:
-		return t.Cold, t.Cold > 0
+		return t.ColdRate, t.ColdRate > 0
 	}
 }
 
-// Open reports whether a request for a permit for a server may succeed now.
-func (c *Controller) Open(now time.Time, t Target) bool {
+// MayAdmit reports whether a request for a permit for a server may succeed now.
+func (c *Controller) MayAdmit(now time.Time, t Target) bool {
 	return !c.mayBeLimited(t) || c.Wait(now, t) == 0
 }
 
 // mayBeLimited returns false if a server certainly has no limit, without taking the lock.
 func (c *Controller) mayBeLimited(t Target) bool {
-	return c.Fleet != nil && (t.Cold > 0 || c.watching.Load())
+	return c.Fleet != nil && (t.ColdRate > 0 || c.watching.Load())
 }
 
 // Restricted reports whether a server has a rate limit.
@@ -107,13 +107,13 @@
 func (c *Controller) owners(now time.Time, t Target, rate limiter.Rate) (list []owner) {
 	ids := c.Fleet.Owners(t.Server.ID)
 	split := rate.Split(len(ids))
-	settled := c.Settled()
+	knowsFleet := c.KnowsFleet()
 	for rank, id := range ids {
 		o := owner{id: id, share: split.Share, fallback: rank >= split.Owners}
 		switch {
-		case o.fallback && (split.Owners > 1 || t.Cold > 0 || !settled || rank > maxFallbacks || len(list) > 0):
+		case o.fallback && (split.Owners > 1 || t.ColdRate > 0 || !knowsFleet || rank > maxFallbacks || len(list) > 0):
 			return list
-		case now.Before(c.unanswered[id]), id == c.Self && !settled:
+		case now.Before(c.unanswered[id]), id == c.Self && !knowsFleet:
 			continue
 		case o.fallback:
 			o.share = rate.Fallback()
@@ -238,7 +238,7 @@
 // OnPermit handles another router's request for a permit. Until this router knows the others
 // it returns result.Starting, and the other one asks elsewhere.
 func (c *Controller) OnPermit(_ context.Context, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
-	if !c.Settled() {
+	if !c.KnowsFleet() {
 		return nil, result.New(result.Starting, "the process has just started")
 	}
 	return c.grant(req), nil
--- a/controller/registry/rates.go
+++ b/controller/registry/rates.go
@@ -12,9 +12,9 @@
 
 // Limits enforces rate limits of servers across all routers.
 type Limits interface {
-	// Open reports whether a permit for a server may be available now, and Wait how long it
+	// MayAdmit reports whether a permit for a server may be available now, and Wait how long it
 	// takes until one may be.
-	Open(now time.Time, t limits.Target) bool
+	MayAdmit(now time.Time, t limits.Target) bool
 	Wait(now time.Time, t limits.Target) time.Duration
 	// Restricted reports whether a server has a rate limit.
 	Restricted(t limits.Target) bool
@@ -33,7 +33,7 @@
 func (c *Controller) limitTarget(s placement.Server, cold bool, rank int) limits.Target {
 	t := limits.Target{Server: s.Incarnation(), Rank: limiter.Rank(rank)}
 	if cold {
-		t.Cold = c.warmups[s.Service].Rate
+		t.ColdRate = c.warmups[s.Service].Rate
 	}
 	return t
 }
@@ -47,7 +47,7 @@
 	case q.Unrestricted:
 		return !c.limits.Restricted(t)
 	default:
-		return c.limits.Open(q.Now, t)
+		return c.limits.MayAdmit(q.Now, t)
 	}
 }
 
@@ -84,7 +84,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.Now = clock.Now()
-	q.Open = func(s placement.Server, cold bool) bool {
+	q.MayAdmit = func(s placement.Server, cold bool) bool {
 		if left := c.limits.Wait(q.Now, c.limitTarget(s, cold, q.Rank)); !limited || left < wait {
 			wait, limited = left, true
 		}
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -127,7 +127,7 @@
 func (c *Controller) keepsConnections(in placement.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.servers.Runs(in)
+	return c.servers.IsRegistered(in)
 }
 
 // logSlowServers logs the servers that long prompts begin or cease to avoid.
@@ -322,7 +322,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.Now = clock.Now()
-	q.Open = func(s placement.Server, cold bool) bool { return c.allowedByRate(q, s, cold) }
+	q.MayAdmit = func(s placement.Server, cold bool) bool { return c.allowedByRate(q, s, cold) }
 	s, ok := c.servers.Pick(c.rng, q)
 	if ok {
 		c.servers.Sent(s.Incarnation(), q.Tokens)
--- a/controller/spread/audience.go
+++ b/controller/spread/recipients.go
@@ -10,8 +10,8 @@
 	"github.com/gaplink/gaplink/peer"
 )
 
-// Audience selects the routers that reports are sent to and requested from.
-type Audience struct {
+// Recipients selects the routers that reports are sent to and requested from.
+type Recipients struct {
 	Members *members.Controller
 	// RelayIDs returns the relays, which all other routers ask for updates, in a fleet that is
 	// too large to send each report to all; nil: reports go to all.
@@ -19,7 +19,7 @@
 }
 
 // Listeners implements Fleet.
-func (a Audience) Listeners() []string {
+func (a Recipients) Listeners() []string {
 	ids := a.relayIDs()
 	if ids == nil {
 		for _, m := range a.Members.Members() {
@@ -30,7 +30,7 @@
 	return slices.DeleteFunc(ids, func(id string) bool { return id == self })
 }
 
-func (a Audience) relayIDs() []string {
+func (a Recipients) relayIDs() []string {
 	if a.RelayIDs == nil {
 		return nil
 	}
@@ -38,7 +38,7 @@
 }
 
 // Peers implements Fleet. The order is random, since a fleet of hundreds may start at once.
-func (a Audience) Peers() []string {
+func (a Recipients) Peers() []string {
 	ids := a.Members.Others(clock.Now())
 	rand.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	return ids
@@ -46,7 +46,7 @@
 
 // Call calls a method of a listed router. It returns peer.ErrNotSent if there is none with
 // that id.
-func Call[Req, Resp any](ctx context.Context, a Audience, c *peer.Client, id, method string, req *Req) (*Resp, error) {
+func Call[Req, Resp any](ctx context.Context, a Recipients, c *peer.Client, id, method string, req *Req) (*Resp, error) {
 	addr, ok := a.Members.Addr(id)
 	if !ok {
 		return nil, peer.ErrNotSent
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -385,11 +385,11 @@
 		Changed: r.servers.SetEvacuated,
 		Log:     zap.NewNop(),
 	})
-	r.verdicts = verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Fleet: verdictPeers{fleetCalls{f}, r}, Updated: r.fromRelays, PausesNoticed: true, Log: zap.NewNop()})
+	r.verdicts = verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Fleet: verdictPeers{fleetCalls{f}, r}, Updated: r.fromRelays, OwnerDetectsPauses: true, Log: zap.NewNop()})
 	r.limits = limits.New(limits.Options{
-		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, Settled: func() bool { return true },
-		Updated: r.fromRelays, Driven: true,
-		Runs: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
+		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, KnowsFleet: func() bool { return true },
+		Updated: r.fromRelays, OwnerTicks: true,
+		IsRegistered: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
 	})
 	r.updates = updates.New(updates.Options{
 		Configs: r.configs, Servers: r.servers, Members: known, Calls: fleetCalls{f},
@@ -822,7 +822,7 @@
 		time.Sleep(5 * time.Second)
 		request := poison.Identity{Body: []byte("k")}.Fingerprint()
 		for n := range 3 {
-			f.all[7*n+5].verdicts.Broke(placement.Server{ID: "first", Service: "svc", Started: int64(n)}, request)
+			f.all[7*n+5].verdicts.RecordBroken(placement.Server{ID: "first", Service: "svc", Started: int64(n)}, request)
 			time.Sleep(time.Second)
 		}
 		for _, r := range f.all {
--- a/controller/verdicts/liveness.go
+++ b/controller/verdicts/liveness.go
@@ -31,11 +31,11 @@
 	done     chan struct{}
 }
 
-// Broke records that the response of a server to a request broke off, or never came because
+// RecordBroken records that the response of a server to a request broke off, or never came because
 // the connection closed. The cause may be the process, one connection, a link or a single
 // response: one liveness check of the process covers all requests that broke off there. The
 // returned channel is closed when its result is known, within some tens of milliseconds.
-func (c *Controller) Broke(s placement.Server, request poison.Fingerprint) <-chan struct{} {
+func (c *Controller) RecordBroken(s placement.Server, request poison.Fingerprint) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	check := c.checks[s.Incarnation()]
@@ -73,7 +73,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.checks, check.server.Incarnation())
-	c.counts.Looks++
+	c.counts.LivenessChecks++
 	requests := make([]poison.Fingerprint, 0, len(check.requests))
 	for f := range check.requests {
 		requests = append(requests, f)
--- a/controller/verdicts/peer_fleet.go
+++ b/controller/verdicts/peer_fleet.go
@@ -9,7 +9,7 @@
 
 // PeerFleet implements Fleet with calls to the other routers.
 type PeerFleet struct {
-	spread.Audience
+	spread.Recipients
 	Client *peer.Client
 }
 
@@ -17,5 +17,5 @@
 
 // Report implements Fleet.
 func (o PeerFleet) Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error) {
-	return spread.Call[peer.VerdictsRequest, peer.VerdictsAnswer](ctx, o.Audience, o.Client, id, peer.MethodVerdicts, req)
+	return spread.Call[peer.VerdictsRequest, peer.VerdictsAnswer](ctx, o.Recipients, o.Client, id, peer.MethodVerdicts, req)
 }
--- a/controller/verdicts/request.go
+++ b/controller/verdicts/request.go
@@ -59,18 +59,18 @@
 	return result.New(result.HeldBack, "%d servers ended under the request", len(v.Servers)).After(min(v.Remaining, maxRetryAfter))
 }
 
-// Broke records that the connection to a server closed before the response was complete.
-func (r *Request) Broke(s placement.Server) {
-	r.checked = r.verdicts.Broke(s, r.computeFingerprint())
+// RecordBroken records that the connection to a server closed before the response was complete.
+func (r *Request) RecordBroken(s placement.Server) {
+	r.checked = r.verdicts.RecordBroken(s, r.computeFingerprint())
 	r.brokenAttempts++
 }
 
-// EndsServers reports whether more than one server has crashed while a request with a broken
+// MayCrashServers reports whether more than one server has crashed while a request with a broken
 // attempt ran there, in which case no router may retry it on its own. It waits for the
 // liveness check of the last server only if another server has crashed before, or may have:
 // most requests that break off merely ran on a server that crashed, or the server has not
 // crashed, and these are retried at once.
-func (r *Request) EndsServers(ctx context.Context) bool {
+func (r *Request) MayCrashServers(ctx context.Context) bool {
 	if r.checked == nil || r.brokenAttempts < 2 && r.verdicts.Crashes(r.computeFingerprint()) == 0 {
 		return false
 	}
@@ -81,11 +81,11 @@
 	return r.verdicts.Crashes(r.computeFingerprint()) > 1
 }
 
-// Ran records that a server of the service completed the request and is alive, which counts as
-// evidence if other servers crashed while it ran there.
-func (r *Request) Ran(service string) {
+// RecordSuccess records that a server of the service completed the request and is alive, which
+// counts as evidence if other servers crashed while it ran there.
+func (r *Request) RecordSuccess(service string) {
 	if r.verdicts.Watching() {
-		r.verdicts.Ran(service, r.computeFingerprint())
+		r.verdicts.RecordSuccess(service, r.computeFingerprint())
 	}
 }
 
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -60,9 +60,9 @@
 	// Updated reports whether relays send this router all reports, so that it asks neither
 	// another router nor the store at its start; nil: none do.
 	Updated func() bool
-	// PausesNoticed is set if the owner calls CatchUp after each pause of the process.
-	PausesNoticed bool
-	Log           *zap.Logger
+	// OwnerDetectsPauses is set if the owner calls CatchUp after each pause of the process.
+	OwnerDetectsPauses bool
+	Log                *zap.Logger
 }
 
 // Controller detects poison requests and keeps the verdicts on them. It is safe for concurrent
@@ -88,10 +88,10 @@
 
 // Counts are event counts since the start.
 type Counts struct {
-	// Looks counts the liveness checks of server processes, Verdicts the verdicts that this
-	// router reached itself, and Lifted the verdicts lifted by successful runs or by
+	// LivenessChecks counts the liveness checks of server processes, Verdicts the verdicts that
+	// this router reached itself, and Lifted the verdicts lifted by successful runs or by
 	// operators, as seen here.
-	Looks, Verdicts, Lifted int64
+	LivenessChecks, Verdicts, Lifted int64
 }
 
 // New returns a controller without verdicts.
@@ -112,7 +112,7 @@
 // send it.
 func (c *Controller) Run(ctx context.Context) {
 	go c.spread.Run(ctx)
-	if !c.PausesNoticed {
+	if !c.OwnerDetectsPauses {
 		go c.spread.DetectPauses(ctx)
 	}
 	go c.writeVerdicts(ctx)
@@ -168,8 +168,8 @@
 	return c.table.Crashes(request)
 }
 
-// Ran records that a server completed a request and is alive.
-func (c *Controller) Ran(service string, request poison.Fingerprint) {
+// RecordSuccess records that a server completed a request and is alive.
+func (c *Controller) RecordSuccess(service string, request poison.Fingerprint) {
 	c.apply(poison.Report{Runs: []poison.Run{{Request: request, Service: service}}}, origin{"a good run", true})
 }
 
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// Figures returns the counts, and the numbers of suspected and of blocked requests.
-func (c *Controller) Figures() (counts Counts, suspects, held int) {
+// Stats returns the counts, and the numbers of suspected and of blocked requests.
+func (c *Controller) Stats() (counts Counts, suspects, held int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts, c.table.Suspects(), len(c.table.Verdicts(clock.Now()))
--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -51,7 +51,7 @@
 		c := verdicts.New(verdicts.Options{Checker: check, Servers: servers{}, Log: zap.New(core)})
 		server := placement.Server{ID: "s1", Started: 7, Service: "llm"}
 		for _, body := range []string{"a", "b", "a"} {
-			c.Broke(server, request(body))
+			c.RecordBroken(server, request(body))
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -142,7 +142,7 @@
 // the next router.
 func crashWhileRunning(body string, first, n int, routers ...*verdicts.Controller) {
 	for i := first; i < first+n; i++ {
-		routers[i%len(routers)].Broke(placement.Server{ID: fmt.Sprint(body, i), Service: "llm"}, request(body))
+		routers[i%len(routers)].RecordBroken(placement.Server{ID: fmt.Sprint(body, i), Service: "llm"}, request(body))
 		time.Sleep(time.Second)
 	}
 }
@@ -159,7 +159,7 @@
 			routers = append(routers, b.join(t.Context(), fmt.Sprint("r", i), nil))
 		}
 		crashWhileRunning("k", 0, 2, routers...)
-		routers[2].Broke(placement.Server{ID: "third", Service: "llm"}, request("k"))
+		routers[2].RecordBroken(placement.Server{ID: "third", Service: "llm"}, request("k"))
 		time.Sleep(100 * time.Millisecond)
 		for i, r := range routers {
 			if _, refused := r.Admit(request("k")); !refused {
@@ -199,7 +199,7 @@
 		b.setUnreachable("r0", true)
 		for i := range 2 {
 			for _, r := range []*verdicts.Controller{one, other} {
-				r.Broke(placement.Server{ID: fmt.Sprint("s", i), Service: "llm"}, request("k"))
+				r.RecordBroken(placement.Server{ID: fmt.Sprint("s", i), Service: "llm"}, request("k"))
 			}
 			time.Sleep(3 * time.Second)
 		}
@@ -232,7 +232,7 @@
 		b.setUnreachable("r1", true)
 		before := b.called()
 		for i := range 200 {
-			one.Broke(placement.Server{ID: fmt.Sprint("s", i), Service: "llm"}, request(fmt.Sprint(i)))
+			one.RecordBroken(placement.Server{ID: fmt.Sprint("s", i), Service: "llm"}, request(fmt.Sprint(i)))
 			time.Sleep(50 * time.Millisecond)
 		}
 		if n := b.called() - before; n > 25 {
@@ -326,7 +326,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newNetwork().join(t.Context(), "r0", nil)
 		for i := range int64(4) {
-			c.Broke(placement.Server{ID: "leaving", Started: i, Service: "llm"}, request("k"))
+			c.RecordBroken(placement.Server{ID: "leaving", Started: i, Service: "llm"}, request("k"))
 			time.Sleep(time.Second)
 		}
 		if held(c) != 0 {
--- a/filter/forward/forward.go
+++ b/filter/forward/forward.go
@@ -145,7 +145,7 @@
 		return final
 	case !retry.Allowed(retryState, x.NotRepeatable):
 		return notRetryable(x, final)
-	case try >= h.opts.Attempts || f.Server == "", record.EndsServers(ctx):
+	case try >= h.opts.Attempts || f.Server == "", record.MayCrashServers(ctx):
 		return final.After(backendRetryAfter)
 	}
 	h.mu.Lock()
--- a/filter/forward/poison.go
+++ b/filter/forward/poison.go
@@ -27,10 +27,10 @@
 func (a *attempt) reportOutcome(f *engine.Failure) {
 	switch {
 	case f == nil:
-		a.record.Ran(a.x.Target)
+		a.record.RecordSuccess(a.x.Target)
 	case f.ConnectionLost && !f.Leaving:
 		s := serverIdentity(a.server)
 		s.Service = a.x.Target
-		a.record.Broke(s)
+		a.record.RecordBroken(s)
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -237,7 +237,7 @@
 	case ctx.Err() != nil:
 		return a.finish(failed, "timeout", placement.Failed, err)
 	default:
-		a.poisonStatus().Broke(a.server)
+		a.poisonStatus().RecordBroken(a.server)
 		return a.finish(failed, "broken", placement.Failed, err)
 	}
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -170,7 +170,7 @@
 		if !c.mayRepeat() || counts.sent >= c.route.Attempts {
 			return result.New(result.BackendCut, "the server did not answer whole").Wrap(cause)
 		}
-		if c.poisonStatus().EndsServers(ctx) {
+		if c.poisonStatus().MayCrashServers(ctx) {
 			return result.New(result.BackendCut, "more than one server ended under the request").Wrap(cause)
 		}
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -145,7 +145,7 @@
 	if status >= http.StatusInternalServerError {
 		a.outcome = result.BackendError // a server may return this status before it starts the request
 	} else if complete {
-		a.poisonStatus().Ran(a.service.Name)
+		a.poisonStatus().RecordSuccess(a.service.Name)
 	}
 	return a.finish(served, "answered", outcomeForStatus(status), nil)
 }
@@ -264,7 +264,7 @@
 		return a.endBroken(ctx, upstream.ErrUnframed)
 	}
 	if complete {
-		a.poisonStatus().Ran(a.service.Name)
+		a.poisonStatus().RecordSuccess(a.service.Name)
 	} else {
 		a.countTokens(1) // a server that crashed may have generated one event that it did not send
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -213,8 +213,8 @@
 	return ok
 }
 
-// Runs reports whether this process is the registered one of its server.
-func (f *Servers) Runs(in Incarnation) bool { return f.lookup(in) != nil }
+// IsRegistered reports whether this process is the registered one of its server.
+func (f *Servers) IsRegistered(in Incarnation) bool { return f.lookup(in) != nil }
 
 // Get returns a registered server.
 func (f *Servers) Get(id string) (Server, bool) {
@@ -273,10 +273,10 @@
 	Domain string
 	// Now is the time of the selection.
 	Now time.Time
-	// Open reports whether the rate limit of a server admits the request; cold is set
+	// MayAdmit reports whether the rate limit of a server admits the request; cold is set
 	// while the server is in slow start. nil admits all. It is called only for servers that
 	// are otherwise eligible.
-	Open func(s Server, cold bool) bool
+	MayAdmit func(s Server, cold bool) bool
 	// Rank is the priority of the request at rate-limited servers; 0 is the highest.
 	Rank int
 	// Unrestricted excludes rate-limited servers.
@@ -290,7 +290,7 @@
 	if q.InDomain != nil && !q.InDomain(s.Domain) {
 		return false
 	}
-	return q.Open == nil || q.Open(s.Server, q.Now.Before(s.coldUntil))
+	return q.MayAdmit == nil || q.MayAdmit(s.Server, q.Now.Before(s.coldUntil))
 }
 
 // Pick returns the server for the request; false means that no server can accept it.
--- a/router/router.go
+++ b/router/router.go
@@ -140,7 +140,7 @@
 	r.verdicts = verdicts.New(verdicts.Options{
 		Checker: r.probes,
 		Servers: activeServers{r.health},
-		Fleet:   verdicts.PeerFleet{Audience: spread.Audience{Members: r.members}, Client: r.peers},
+		Fleet:   verdicts.PeerFleet{Recipients: spread.Recipients{Members: r.members}, Client: r.peers},
 		Store:   r.store,
 		Log:     r.log,
 	})
--- a/server/cold.go
+++ b/server/cold.go
@@ -22,20 +22,20 @@
 // newLimits returns the controller that enforces the rate limits of backend servers.
 func (s *Server) newLimits() *limits.Controller {
 	return limits.New(limits.Options{
-		Self:    s.settings.Instance.ID,
-		Fleet:   limits.PeerFleet{Audience: s.audience(), Client: s.peers},
-		Settled: s.rosterSettled,
-		Runs:    s.servers.AcceptsRequests,
-		Updated: s.updatedByRelays,
-		Log:     s.log,
-
-		Driven: true,
+		Self:         s.settings.Instance.ID,
+		Fleet:        limits.PeerFleet{Recipients: s.recipients(), Client: s.peers},
+		KnowsFleet:   s.rosterSettled,
+		IsRegistered: s.servers.AcceptsRequests,
+		Updated:      s.updatedByRelays,
+		Log:          s.log,
+
+		OwnerTicks: true,
 	})
 }
 
-// audience returns the routers to which this one reports its observations.
-func (s *Server) audience() spread.Audience {
-	return spread.Audience{Members: s.members, RelayIDs: s.relayIDs}
+// recipients returns the routers to which this one reports its observations.
+func (s *Server) recipients() spread.Recipients {
+	return spread.Recipients{Members: s.members, RelayIDs: s.relayIDs}
 }
 
 // warmups returns the warm-up time and rate for cold servers, by service.
--- a/server/provision.go
+++ b/server/provision.go
@@ -55,13 +55,13 @@
 	s.verdicts = verdicts.New(verdicts.Options{
 		Checker: s.pool,
 		Servers: s.servers,
-		Fleet:   verdicts.PeerFleet{Audience: s.audience(), Client: s.peers},
+		Fleet:   verdicts.PeerFleet{Recipients: s.recipients(), Client: s.peers},
 		Store:   s.store,
 		Stale:   s.largeFleet,
 		Updated: s.updatedByRelays,
 		Log:     s.log,
 
-		PausesNoticed: true,
+		OwnerDetectsPauses: true,
 	})
 	s.budgets = budgets.New(s.budgetConfig(), s.store, s.members, s.peers, s.log, func() {})
 	s.configs = configs.New(s.platform.ConfigKey, s.platform.DecodeConfig, s.configChanged, s.log)
