--- a/admin/admin.go
+++ b/admin/admin.go
@@ -106,7 +106,7 @@
 	return &peer.AdminAnswer{Result: body}, nil
 }
 
-// verdictCommand returns a command on the verdicts, by which requests are held back.
+// verdictCommand returns a command on the verdicts, by which requests are quarantined.
 func (s *Server) verdictCommand(name string) command {
 	return func(_ context.Context, operator string, args []byte) (any, error) {
 		return s.verdicts.Do(operator, name, args)
--- a/controller/verdicts/commands.go
+++ b/controller/verdicts/commands.go
@@ -21,7 +21,7 @@
 	Service string `json:"service"`
 	// Servers are the ids of those that crashed while the request ran.
 	Servers []string `json:"servers"`
-	// HeldForSeconds is the remaining time for which the request is blocked.
+	// HeldForSeconds is the remaining time for which the request is quarantined.
 	HeldForSeconds float64 `json:"held_for_seconds"`
 }
 
--- a/controller/verdicts/persist.go
+++ b/controller/verdicts/persist.go
@@ -22,7 +22,7 @@
 	// retryMax. Other routers already have the verdict in the meantime.
 	retryInitial = 500 * time.Millisecond
 	retryMax     = 8 * time.Second
-	// verdictRetention is how long a verdict stays in the store after its block has expired:
+	// verdictRetention is how long a verdict stays in the store after its quarantine has expired:
 	// while it is there, a fleet that restarts needs only one crash for the next verdict.
 	verdictRetention = 24 * time.Hour
 )
@@ -35,13 +35,13 @@
 	lifted bool
 }
 
-// storedVerdict is the storedVerdict form of a verdict. Its times are wall clock times: errors of a
-// few seconds do not matter to blocks of a minute and more.
+// storedVerdict is the stored form of a verdict. Its times are wall clock times: errors of a
+// few seconds do not matter to quarantines of a minute and more.
 type storedVerdict struct {
 	Number  int      `json:"number"`
 	Service string   `json:"service"`
 	Servers []string `json:"servers"`
-	// UntilMs is when the block expires, in Unix milliseconds.
+	// UntilMs is when the quarantine expires, in Unix milliseconds.
 	UntilMs int64 `json:"untilMs"`
 }
 
@@ -195,6 +195,6 @@
 	if err := json.Unmarshal(o.Value, &s); err != nil {
 		return poison.Verdict{}, err
 	}
-	held := time.Duration(s.UntilMs-now.UnixMilli()) * time.Millisecond
-	return poison.Verdict{Request: request, Number: s.Number, Service: s.Service, Servers: s.Servers, Remaining: held}, nil
+	remaining := time.Duration(s.UntilMs-now.UnixMilli()) * time.Millisecond
+	return poison.Verdict{Request: request, Number: s.Number, Service: s.Service, Servers: s.Servers, Remaining: remaining}, nil
 }
--- a/controller/verdicts/request.go
+++ b/controller/verdicts/request.go
@@ -9,7 +9,7 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// maxRetryAfter bounds the retry delay given to the caller of a blocked request: it does not
+// maxRetryAfter bounds the retry delay given to the caller of a quarantined request: it does not
 // change sooner unless an operator lifts the verdict.
 const maxRetryAfter = time.Hour
 
@@ -43,7 +43,7 @@
 	return *r.fingerprint
 }
 
-// Refusal returns the error for a request that is blocked, or nil. Without blocking, each
+// Refusal returns the error for a request that is quarantined, or nil. Without the quarantine, each
 // arrival of such a request, as a router's retry or as a new attempt of its caller, crashed
 // another server and failed the other requests there: with six servers and one such request
 // every 0.3 s, more than four in five of all others failed
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -148,8 +148,8 @@
 // fingerprint.
 func (c *Controller) Watching() bool { return c.watching.Load() }
 
-// Admit returns the verdict that blocks a newly arrived request, if there is one. When a block
-// has expired, it admits one trial run and announces it to the other routers.
+// Admit returns the verdict that quarantines a newly arrived request, if there is one. When a
+// quarantine has expired, it admits one trial run and announces it to the other routers.
 func (c *Controller) Admit(request poison.Fingerprint) (v poison.Verdict, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,17 +183,17 @@
 // Lift voids the verdict on a request on behalf of an operator.
 func (c *Controller) Lift(request poison.Fingerprint, operator string) error {
 	c.mu.Lock()
-	v, held := c.table.Blocked(clock.Now(), request)
+	v, quarantined := c.table.Quarantined(clock.Now(), request)
 	c.mu.Unlock()
-	if !held {
+	if !quarantined {
 		return result.New(result.UnknownObject, "no verdict holds on %s", request)
 	}
 	c.apply(poison.Report{Lifts: []poison.Lift{{Request: request, Number: v.Number}}}, origin{"operator " + operator, true})
 	return nil
 }
 
-// Stats returns the counts, and the numbers of suspected and of blocked requests.
-func (c *Controller) Stats() (counts Counts, suspects, held int) {
+// Stats returns the counts, and the numbers of suspected and of quarantined requests.
+func (c *Controller) Stats() (counts Counts, suspects, quarantined int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts, c.table.Suspects(), len(c.table.Verdicts(clock.Now()))
@@ -212,16 +212,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
-	before := c.blockedIn(now, r)
+	before := c.quarantinedIn(now, r)
 	added, reached := c.table.Apply(now, r)
 	c.watching.Store(!c.table.IsEmpty())
 	c.counts.Verdicts += int64(len(reached))
 	added.Verdicts = append(added.Verdicts, reached...)
 	for _, v := range added.Verdicts {
-		c.recordBlocked(now, v, from)
+		c.recordQuarantined(now, v, from)
 	}
 	for _, f := range before {
-		if _, still := c.table.Blocked(now, f); !still {
+		if _, still := c.table.Quarantined(now, f); !still {
 			c.recordLifted(f, from)
 		}
 	}
@@ -235,11 +235,11 @@
 	}
 }
 
-// blockedIn returns the blocked requests that a report may unblock.
-func (c *Controller) blockedIn(now time.Time, r poison.Report) (held []poison.Fingerprint) {
+// quarantinedIn returns the quarantined requests that a report may release.
+func (c *Controller) quarantinedIn(now time.Time, r poison.Report) (quarantined []poison.Fingerprint) {
 	add := func(f poison.Fingerprint) {
-		if _, ok := c.table.Blocked(now, f); ok {
-			held = append(held, f)
+		if _, ok := c.table.Quarantined(now, f); ok {
+			quarantined = append(quarantined, f)
 		}
 	}
 	for _, l := range r.Lifts {
@@ -248,11 +248,11 @@
 	for _, run := range r.Runs {
 		add(run.Request)
 	}
-	return held
+	return quarantined
 }
 
-// recordBlocked logs a verdict with its evidence and schedules the store write.
-func (c *Controller) recordBlocked(now time.Time, v poison.Verdict, from origin) {
+// recordQuarantined logs a verdict with its evidence and schedules the store write.
+func (c *Controller) recordQuarantined(now time.Time, v poison.Verdict, from origin) {
 	c.Log.Warn("request held back", zap.Stringer("fingerprint", v.Request), zap.Int("number", v.Number), zap.String("service", v.Service),
 		zap.Strings("servers", v.Servers), zap.Duration("held_for_ms", v.Remaining), zap.String("source", from.name))
 	if from.local {
--- a/controller/verdicts/verdicts_test.go
+++ b/controller/verdicts/verdicts_test.go
@@ -147,10 +147,10 @@
 	}
 }
 
-func held(c *verdicts.Controller) int { return len(c.List()) }
+func quarantined(c *verdicts.Controller) int { return len(c.List()) }
 
 // Guards against verdicts that spread slowly: each crash is observed by another router, and
-// all routers block the request within 0.1 s of the third.
+// all routers quarantine the request within 0.1 s of the third.
 func TestVerdictReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newNetwork()
@@ -163,7 +163,7 @@
 		time.Sleep(100 * time.Millisecond)
 		for i, r := range routers {
 			if _, refused := r.Admit(request("k")); !refused {
-				t.Errorf("router %d does not block the request", i)
+				t.Errorf("router %d does not quarantine the request", i)
 			}
 		}
 		if b.calls > 5*3+6 {
@@ -179,12 +179,12 @@
 		one, cut := b.join(t.Context(), "r0", nil), b.join(t.Context(), "r1", nil)
 		b.setUnreachable("r1", true)
 		crashWhileRunning("k", 0, 3, one)
-		if held(one) != 1 || held(cut) != 0 {
-			t.Fatalf("%d and %d verdicts", held(one), held(cut))
+		if quarantined(one) != 1 || quarantined(cut) != 0 {
+			t.Fatalf("%d and %d verdicts", quarantined(one), quarantined(cut))
 		}
 		b.setUnreachable("r1", false)
 		time.Sleep(time.Second)
-		if held(cut) != 1 {
+		if quarantined(cut) != 1 {
 			t.Error("the router has no verdict one second after it is reachable again")
 		}
 	})
@@ -216,8 +216,8 @@
 		for _, r := range []poison.Report{news, log} {
 			third.Receive(r)
 		}
-		if n := third.Crashes(request("k")); n != 2 || held(third) != 0 {
-			t.Errorf("%d crashes after old reports, %d verdicts", n, held(third))
+		if n := third.Crashes(request("k")); n != 2 || quarantined(third) != 0 {
+			t.Errorf("%d crashes after old reports, %d verdicts", n, quarantined(third))
 		}
 	})
 }
@@ -253,7 +253,7 @@
 		b := newNetwork()
 		one := b.join(t.Context(), "r0", nil)
 		crashWhileRunning("k", 0, 3, one)
-		if late := b.join(t.Context(), "r1", nil); held(late) != 1 {
+		if late := b.join(t.Context(), "r1", nil); quarantined(late) != 1 {
 			t.Error("the router has no verdict after its start")
 		}
 	})
@@ -266,14 +266,14 @@
 		kept := memory.New()
 		crashWhileRunning("k", 0, 3, newNetwork().join(t.Context(), "r0", kept))
 		next := newNetwork().join(t.Context(), "r1", kept)
-		if held(next) != 1 {
+		if quarantined(next) != 1 {
 			t.Fatal("the restarted fleet has no verdict")
 		}
 		if err := next.Lift(request("k"), "ann"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if last := newNetwork().join(t.Context(), "r2", kept); held(last) != 0 {
+		if last := newNetwork().join(t.Context(), "r2", kept); quarantined(last) != 0 {
 			t.Error("the store still has the lifted verdict")
 		}
 	})
@@ -292,7 +292,7 @@
 		}
 		kept.unavailable.Store(false)
 		time.Sleep(10 * time.Second)
-		if next := newNetwork().join(t.Context(), "r1", kept); held(next) != 1 {
+		if next := newNetwork().join(t.Context(), "r1", kept); quarantined(next) != 1 {
 			t.Error("the verdict was not written to the store")
 		}
 	})
@@ -329,8 +329,8 @@
 			c.RecordBroken(placement.Server{ID: "leaving", Started: i, Service: "llm"}, request("k"))
 			time.Sleep(time.Second)
 		}
-		if held(c) != 0 {
-			t.Error("a request is blocked because of planned exits")
+		if quarantined(c) != 0 {
+			t.Error("a request is quarantined because of planned exits")
 		}
 	})
 }
@@ -352,13 +352,13 @@
 		news, _ := one.Since(seq)
 		reader.Receive(all)
 		reader.Receive(news)
-		if held(reader) != 1 {
+		if quarantined(reader) != 1 {
 			t.Errorf("the router that reads the log has no verdict after %+v", news)
 		}
 		last := verdicts.New(verdicts.Options{Log: zap.NewNop()})
 		forwarded, _ := reader.Since(-1)
 		last.Receive(forwarded)
-		if held(last) != 1 {
+		if quarantined(last) != 1 {
 			t.Error("the router that reads from that router has no verdict")
 		}
 	})
@@ -384,11 +384,11 @@
 			}
 		}
 		next := newNetwork().join(t.Context(), "r1", kept)
-		if held(next) != 1 {
-			t.Errorf("%d verdicts in force", held(next))
+		if quarantined(next) != 1 {
+			t.Errorf("%d verdicts in force", quarantined(next))
 		}
 		if _, refused := next.Admit(request("m")); refused {
-			t.Error("an entry without a number or an expiry blocks a request")
+			t.Error("an entry without a number or an expiry quarantines a request")
 		}
 	})
 }
--- a/poison/evaluate.go
+++ b/poison/evaluate.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// minCrashes is the number of crashes that blocks a request. One crash proves nothing,
+	// minCrashes is the number of crashes that quarantines a request. One crash proves nothing,
 	// since dozens of requests run on a server that crashes. A request that is retried while
 	// the servers of a failure domain crash one after the other sees two. Three independent
 	// crashes, without a successful run in between and without another request that explains
 	// them better, happened to one of 320,000 requests among 1,800 crashes of servers that
 	// crashed for other reasons (TestNoVerdictWithoutPoison).
 	minCrashes = 3
-	// minAmbiguousCrashes is the number of crashes that blocks a request although another
+	// minAmbiguousCrashes is the number of crashes that quarantines a request although another
 	// request ran at all of them: each further crash fails dozens of other requests, and a
 	// successful run still clears the harmless one.
 	minAmbiguousCrashes = 5
 	// correlationWindow is how long after one server of a failure domain another may crash
 	// from the same cause, and failoverWindow how soon a request that lost its server reaches
 	// the next one if it is retried at once. Without the two, with minAmbiguousCrashes for
-	// crashes that are not independent, 3 of those requests were blocked.
+	// crashes that are not independent, 3 of those requests were quarantined.
 	correlationWindow = time.Second
 	failoverWindow    = 100 * time.Millisecond
 	// duplicateWindow is the time within which crashes reported for a server without a start
@@ -34,12 +34,12 @@
 // evaluate returns the new verdicts that follow from the recorded crashes.
 func (t *Table) evaluate(now time.Time) (verdicts []Verdict) {
 	for f, r := range t.requests {
-		if r.blocked(now) || len(r.crashes) <= r.crashesAtVerdict || !t.shouldBlock(f, r) {
+		if r.quarantined(now) || len(r.crashes) <= r.crashesAtVerdict || !t.shouldQuarantine(f, r) {
 			continue
 		}
 		r.number = max(r.number, r.lifted) + 1
 		r.crashesAtVerdict = len(r.crashes)
-		r.until = now.Add(blockDurationFor(r.number, r.lifted))
+		r.until = now.Add(quarantineDurationFor(r.number, r.lifted))
 		r.service, r.servers = t.evidence(r)
 		verdicts = append(verdicts, r.verdict(now, f))
 	}
@@ -55,8 +55,8 @@
 	return service, servers
 }
 
-// shouldBlock reports whether the crashes of a request justify a verdict.
-func (t *Table) shouldBlock(f Fingerprint, r *record) bool {
+// shouldQuarantine reports whether the crashes of a request justify a verdict.
+func (t *Table) shouldQuarantine(f Fingerprint, r *record) bool {
 	if len(r.crashes) < minCrashes && !r.hasVerdict() {
 		return false // the common case
 	}
--- a/poison/expire.go
+++ b/poison/expire.go
@@ -29,7 +29,7 @@
 		t.dropOldestCrash(t.crashOrder[0])
 	}
 	for f, r := range t.requests {
-		if len(r.crashes) == 0 && now.Sub(r.last) > verdictRetention && !r.blocked(now) {
+		if len(r.crashes) == 0 && now.Sub(r.last) > verdictRetention && !r.quarantined(now) {
 			delete(t.requests, f)
 		}
 	}
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -17,7 +17,7 @@
 //
 // It is a truncated SHA-256. A shorter or faster hash would avoid accidental collisions, but
 // anybody could compute a second body with the same hash and have another caller's request
-// blocked. 128 bits prevent that without a secret that all routers would have to share.
+// quarantined. 128 bits prevent that without a secret that all routers would have to share.
 type Fingerprint [16]byte
 
 // Identity holds the parts of a request that its fingerprint covers.
--- a/poison/report.go
+++ b/poison/report.go
@@ -17,7 +17,7 @@
 	Age time.Duration
 }
 
-// Verdict is the decision to block a request.
+// Verdict is the decision to quarantine a request.
 type Verdict struct {
 	Request Fingerprint
 	// Number counts the verdicts on the request, from 1. A verdict is void once it, or a later
@@ -27,7 +27,7 @@
 	// that crashed while the request ran.
 	Service string
 	Servers []string
-	// Remaining is how much longer the request is blocked.
+	// Remaining is how much longer the request is quarantined.
 	Remaining time.Duration
 }
 
--- a/poison/table.go
+++ b/poison/table.go
@@ -7,26 +7,26 @@
 	"github.com/gaplink/gaplink/placement"
 )
 
-// blockDurations are how long the first and the second verdict block a request. A wrong
-// verdict must expire soon without an operator, since it may block a request of many callers,
-// and a later version of a model may be able to run it. After each block one trial run is
-// admitted, and one more crash is enough for the next verdict. The third verdict blockDurations until
+// quarantineDurations are how long the first and the second verdict quarantine a request. A wrong
+// verdict must expire soon without an operator, since it may quarantine a request of many callers,
+// and a later version of a model may be able to run it. After each quarantine one trial run is
+// admitted, and one more crash is enough for the next verdict. The third verdict quarantines until
 // it is lifted, so that a request crashes only two servers more after the first verdict.
-var blockDurations = []time.Duration{time.Minute, time.Hour}
+var quarantineDurations = []time.Duration{time.Minute, time.Hour}
 
 // trialTimeout is how long a trial run may take before another one is admitted. A successful
-// run clears the request, a crash blocks it again.
+// run clears the request, a crash quarantines it again.
 const trialTimeout = 2 * time.Second
 
-// indefinite is the block duration of the third and later verdicts, which only an operator or
+// indefinite is the quarantine duration of the third and later verdicts, which only an operator or
 // a successful run ends.
 const indefinite = 100 * 365 * 24 * time.Hour
 
-// blockDurationFor returns the block duration of a verdict, given its number and the number of
-// the last one that was lifted.
-func blockDurationFor(number, lifted int) time.Duration {
-	if i := number - lifted - 1; i < len(blockDurations) {
-		return blockDurations[max(i, 0)]
+// quarantineDurationFor returns the quarantine duration of a verdict, given its number and the
+// number of the last one that was lifted.
+func quarantineDurationFor(number, lifted int) time.Duration {
+	if i := number - lifted - 1; i < len(quarantineDurations) {
+		return quarantineDurations[max(i, 0)]
 	}
 	return indefinite
 }
@@ -55,14 +55,14 @@
 	until            time.Time
 	service          string
 	servers          []string
-	// trialAt is when a trialAt run was last admitted.
+	// trialAt is when a trial run was last admitted.
 	trialAt time.Time
 }
 
 // hasVerdict reports whether there is a verdict, in force or expired, that was not lifted.
 func (r *record) hasVerdict() bool { return r.number > r.lifted }
 
-func (r *record) blocked(now time.Time) bool { return r.hasVerdict() && now.Before(r.until) }
+func (r *record) quarantined(now time.Time) bool { return r.hasVerdict() && now.Before(r.until) }
 
 // Table holds a router's records of crashes and of the requests that ran at them. It is not
 // safe for concurrent use.
@@ -83,23 +83,23 @@
 // Suspects returns the number of requests on record.
 func (t *Table) Suspects() int { return len(t.requests) }
 
-// Blocked returns the verdict that blocks a request now, if there is one.
-func (t *Table) Blocked(now time.Time, f Fingerprint) (Verdict, bool) {
+// Quarantined returns the verdict that quarantines a request now, if there is one.
+func (t *Table) Quarantined(now time.Time, f Fingerprint) (Verdict, bool) {
 	r := t.requests[f]
-	if r == nil || !r.blocked(now) {
+	if r == nil || !r.quarantined(now) {
 		return Verdict{}, false
 	}
 	return r.verdict(now, f), true
 }
 
-// Admit returns the verdict that blocks a newly arrived request, if there is one. trial is set
-// if the request is admitted as a trial run after its block expired.
+// Admit returns the verdict that quarantines a newly arrived request, if there is one. trial is set
+// if the request is admitted as a trial run after its quarantine expired.
 func (t *Table) Admit(now time.Time, f Fingerprint) (v Verdict, refused, trial bool) {
 	r := t.requests[f]
 	switch {
 	case r == nil || !r.hasVerdict():
 		return Verdict{}, false, false
-	case r.blocked(now):
+	case r.quarantined(now):
 		return r.verdict(now, f), true, false
 	case now.Sub(r.trialAt) < trialTimeout:
 		v = r.verdict(now, f)
@@ -127,7 +127,7 @@
 func (t *Table) Verdicts(now time.Time) []Verdict {
 	var all []Verdict
 	for f, r := range t.requests {
-		if r.blocked(now) {
+		if r.quarantined(now) {
 			all = append(all, r.verdict(now, f))
 		}
 	}
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -52,26 +52,26 @@
 	}
 }
 
-// reportInterval is the time reportInterval two reports: that reportInterval two attempts of a caller.
+// reportInterval is the time between two reports: that between two attempts of a caller.
 const reportInterval = 600 * time.Millisecond
 
-func (f *table) expectBlocked(body string, want bool) {
+func (f *table) expectQuarantined(body string, want bool) {
 	f.t.Helper()
-	if _, held := f.Blocked(f.now, fingerprint(body)); held != want {
-		f.t.Errorf("%q is blocked: %v", body, held)
+	if _, quarantined := f.Quarantined(f.now, fingerprint(body)); quarantined != want {
+		f.t.Errorf("%q is quarantined: %v", body, quarantined)
 	}
 }
 
-func TestThirdCrashBlocks(t *testing.T) {
+func TestThirdCrashQuarantines(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k", "a"), crashReport(2, "k", "b"))
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 	f.apply(crashReport(3, "k", "c"))
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 	for _, other := range []string{"a", "b", "c"} {
-		f.expectBlocked(other, false)
+		f.expectQuarantined(other, false)
 	}
-	v, _ := f.Blocked(f.now, fingerprint("k"))
+	v, _ := f.Quarantined(f.now, fingerprint("k"))
 	if v.Number != 1 || v.Service != "llm" || len(v.Servers) != 3 {
 		t.Errorf("unexpected verdict %+v", v)
 	}
@@ -82,7 +82,7 @@
 func TestCrashIsCountedOnce(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(1, "k", "a"), crashReport(1, "k"), crashReport(2, "k"), crashReport(2, "a", "k"))
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 	if n := f.Crashes(fingerprint("k")); n != 2 {
 		t.Errorf("%d crashes", n)
 	}
@@ -103,44 +103,44 @@
 	}
 }
 
-// Guards against blocking a request that was retried twice onto servers that a poison request
+// Guards against quarantining a request that was retried twice onto servers that a poison request
 // crashed: it has three crashes too, but the other request explains them.
-func TestRetriedBystanderIsNotBlocked(t *testing.T) {
+func TestRetriedBystanderIsNotQuarantined(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k", "a"), crashReport(3, "k", "a"), crashReport(4, "k", "a"))
-	f.expectBlocked("k", true)
-	f.expectBlocked("a", false)
+	f.expectQuarantined("k", true)
+	f.expectQuarantined("a", false)
 }
 
-// Guards against blocking either of two requests that ran at the same crashes: the cause is
+// Guards against quarantining either of two requests that ran at the same crashes: the cause is
 // ambiguous until another crash, or a successful run of one of them.
-func TestAmbiguousRequestsAreNotBlocked(t *testing.T) {
+func TestAmbiguousRequestsAreNotQuarantined(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k", "a"), crashReport(2, "k", "a"), crashReport(3, "k", "a"))
-	f.expectBlocked("k", false)
-	f.expectBlocked("a", false)
+	f.expectQuarantined("k", false)
+	f.expectQuarantined("a", false)
 	f.apply(crashReport(4, "k"))
-	f.expectBlocked("k", true)
-	f.expectBlocked("a", false)
+	f.expectQuarantined("k", true)
+	f.expectQuarantined("a", false)
 
 	f = newTable(t)
 	f.apply(crashReport(1, "k", "a"), crashReport(2, "k", "a"), crashReport(3, "k", "a"), successReport("llm", "a"))
-	f.expectBlocked("k", true)
-	f.expectBlocked("a", false)
+	f.expectQuarantined("k", true)
+	f.expectQuarantined("a", false)
 }
 
-// Guards against ambiguous requests that are never blocked: two that always run together are
-// both blocked after five crashes, and a successful run still clears the harmless one.
-func TestAmbiguousRequestsAreBlockedAfterFiveCrashes(t *testing.T) {
+// Guards against ambiguous requests that are never quarantined: two that always run together are
+// both quarantined after five crashes, and a successful run still clears the harmless one.
+func TestAmbiguousRequestsAreQuarantinedAfterFiveCrashes(t *testing.T) {
 	f := newTable(t)
 	for n := range 5 {
 		f.apply(crashReport(n, "k", "a"))
 	}
-	f.expectBlocked("k", true)
-	f.expectBlocked("a", true)
+	f.expectQuarantined("k", true)
+	f.expectQuarantined("a", true)
 	f.apply(successReport("llm", "a"))
-	f.expectBlocked("k", true)
-	f.expectBlocked("a", false)
+	f.expectQuarantined("k", true)
+	f.expectQuarantined("a", false)
 }
 
 // Guards against a cleared request that becomes a suspect again when another router reports
@@ -148,9 +148,9 @@
 func TestSuccessfulRunClears(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k"), successReport("llm", "k"), crashReport(2, "k"), crashReport(3, "k"), crashReport(4, "k"))
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 	f.apply(crashReport(5, "k"))
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 }
 
 // Guards against a successful run on another service that clears a request: a request may
@@ -158,11 +158,11 @@
 func TestSuccessfulRunOnAnotherServiceClearsNothing(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k"), successReport("new-llm", "k"), crashReport(3, "k"))
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 	f.apply(successReport("new-llm", "k"))
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 	f.apply(successReport("llm", "k"))
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 }
 
 // Guards against a poison request that crashes servers without end: five servers crash in all,
@@ -185,14 +185,14 @@
 
 // Guards against concurrent trial runs: the fleet admits one at a time, whichever router
 // receives the request.
-func TestOneTrialAfterABlockExpires(t *testing.T) {
+func TestOneTrialAfterAQuarantineExpires(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
 	f.now = f.now.Add(2 * time.Minute)
 	other := newTable(t)
 	other.apply(f.Snapshot(f.now), poison.Report{Verdicts: []poison.Verdict{{Request: fingerprint("k"), Number: 1, Service: "llm"}}})
 	if _, refused, trial := f.Admit(f.now, fingerprint("k")); refused || !trial {
-		t.Errorf("refused %v, trial %v after the block expired", refused, trial)
+		t.Errorf("refused %v, trial %v after the quarantine expired", refused, trial)
 	}
 	if _, refused, _ := f.Admit(f.now, fingerprint("k")); !refused {
 		t.Error("two concurrent trial runs at one router")
@@ -212,16 +212,16 @@
 func TestLiftedVerdictStaysLifted(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
-	v, _ := f.Blocked(f.now, fingerprint("k"))
+	v, _ := f.Quarantined(f.now, fingerprint("k"))
 	lift := poison.Report{Lifts: []poison.Lift{{Request: fingerprint("k"), Number: v.Number}}}
 	f.apply(lift, poison.Report{Verdicts: []poison.Verdict{v}}, crashReport(3, "k"), crashReport(4, "k"), crashReport(5, "k"))
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 	f.apply(crashReport(6, "k"))
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 
 	f = newTable(t) // the lift arrives before the verdict
 	f.apply(lift, poison.Report{Verdicts: []poison.Verdict{v}})
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 }
 
 // Guards against a router that needs more crashes for a verdict after its start than the
@@ -230,25 +230,25 @@
 	old, fresh := newTable(t), newTable(t)
 	old.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"), crashReport(4, "l", "a"), crashReport(5, "l", "b"))
 	fresh.apply(old.Snapshot(old.now))
-	fresh.expectBlocked("k", true)
+	fresh.expectQuarantined("k", true)
 	fresh.apply(crashReport(6, "l"))
-	fresh.expectBlocked("l", true)
-	fresh.expectBlocked("a", false)
+	fresh.expectQuarantined("l", true)
+	fresh.expectQuarantined("a", false)
 }
 
 // Guards against ignoring the verdict of another router where none of the crashes is known.
 func TestVerdictOfAnotherRouterApplies(t *testing.T) {
 	f := newTable(t)
 	f.apply(poison.Report{Verdicts: []poison.Verdict{{Request: fingerprint("k"), Number: 1, Service: "llm", Remaining: time.Minute}}})
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 	f.now = f.now.Add(2 * time.Minute)
-	f.expectBlocked("k", false)
+	f.expectQuarantined("k", false)
 	f.apply(crashReport(9, "k"))
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 }
 
 // Guards against unbounded memory: a caller that sends new requests at each crash takes no
-// more than 4 MB, and blocked requests stay blocked.
+// more than 4 MB, and quarantined requests stay quarantined.
 func TestMemoryIsBounded(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
@@ -269,14 +269,14 @@
 	if grown > 4<<20 {
 		t.Errorf("%d bytes", grown)
 	}
-	f.expectBlocked("k", true)
+	f.expectQuarantined("k", true)
 }
 
 // Guards against verdicts without a poison request. It simulates servers that crash for other
 // reasons, far more often than real ones (one of eighteen every 2 s): alone, in groups, and in
 // series of up to eight, with requests that are retried by a router and then by their callers,
 // some of which share the next server. A tenth of the requests are the same harmless one,
-// which ends up on one server after the other. Among 320,000 requests it alone is blocked
+// which ends up on one server after the other. Among 320,000 requests it alone is quarantined
 // once, at the end of such a series, until one of its runs succeeds.
 func TestNoVerdictWithoutPoison(t *testing.T) {
 	requests, verdicts, crashes, refused := 0, 0, 0, 0
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -41,7 +41,7 @@
 	s.gauge("gaplink_link_load_out", "The same outwards.", func() float64 { return s.meter.Load().Out })
 	s.gauge("gaplink_log_lines_dropped", "Log lines left out because the reader was slow.", func() float64 { return float64(s.writer.Dropped()) })
 	s.gauge("gaplink_poison_suspects", "Requests that ran at a server when it ended.", func() float64 { _, suspects, _ := s.verdicts.Stats(); return float64(suspects) })
-	s.gauge("gaplink_poison_held", "Requests that are held back.", func() float64 { _, _, held := s.verdicts.Stats(); return float64(held) })
+	s.gauge("gaplink_poison_held", "Requests that are held back.", func() float64 { _, _, quarantined := s.verdicts.Stats(); return float64(quarantined) })
 	s.verdictCounter("gaplink_poison_looks_total", "Looks at servers at which answers broke off.", func(c verdicts.Counts) int64 { return c.LivenessChecks })
 	s.verdictCounter("gaplink_poison_verdicts_total", "Verdicts that this router reached.", func(c verdicts.Counts) int64 { return c.Verdicts })
 	s.verdictCounter("gaplink_poison_lifted_total", "Verdicts that were lifted by good runs or operators.", func(c verdicts.Counts) int64 { return c.Lifted })
