--- a/budget/age.go
+++ b/budget/age.go
@@ -29,12 +29,12 @@
 
 // entryAge is the time from the write of an entry to the start of this process, by both
 // clocks of the machine.
-type entryAge struct{ steady, wallClock time.Duration }
+type entryAge struct{ monotonic, wallClock time.Duration }
 
 // ageAtStart returns the age of an entry when this process started.
 func (a *Agent) ageAtStart(e Escrow) entryAge {
 	return entryAge{
-		steady:    a.cfg.Uptime(a.cfg.Started) - time.Duration(e.At),
+		monotonic: a.cfg.Uptime(a.cfg.Started) - time.Duration(e.At),
 		wallClock: time.Duration(a.cfg.StartedWallClock.UnixNano() - e.WallClock),
 	}
 }
@@ -42,7 +42,7 @@
 // proven reports whether the monotonic clock has run without a restart since the entry was
 // written.
 func (age entryAge) proven(e Escrow) bool {
-	difference := (age.wallClock - age.steady).Abs()
+	difference := (age.wallClock - age.monotonic).Abs()
 	return e.WallClock != 0 && time.Duration(e.At) >= minUptime && difference <= maxClockDifference
 }
 
--- a/budget/config.go
+++ b/budget/config.go
@@ -55,16 +55,16 @@
 	DrawTimeout time.Duration
 	// LenderTimeout is how long another router may take to answer a loan request.
 	LenderTimeout time.Duration
-	// DrawSpacing is the minimum time between two writes of a page by an owner that grants
+	// DrawInterval is the minimum time between two writes of a page by an owner that grants
 	// tokens to others: it batches their draws in the meantime.
-	DrawSpacing time.Duration
+	DrawInterval time.Duration
 	// RecallTimeout is how long an owner waits for recalled tokens.
 	RecallTimeout time.Duration
 	// LookupInterval is the minimum time between two lookups of an exhausted budget.
 	LookupInterval time.Duration
-	// PageSpacing is the minimum time between two writes of a page that no caller waits
-	// for.
-	PageSpacing time.Duration
+	// PageWriteInterval is the minimum time between two writes of a page that no caller
+	// waits for.
+	PageWriteInterval time.Duration
 	// StoreRetry is the pause after the store was unavailable.
 	StoreRetry time.Duration
 	// RefillBelow is the share of OwnerHorizon below which an owner draws more.
@@ -99,21 +99,21 @@
 // DefaultConfig returns the settings that apply unless an operator sets others.
 func DefaultConfig() Config {
 	return Config{
-		Pages:          16,
-		OwnerHorizon:   10 * time.Second,
-		EntryHorizon:   time.Second,
-		DrawTimeout:    400 * time.Millisecond,
-		LenderTimeout:  100 * time.Millisecond,
-		RecallTimeout:  150 * time.Millisecond,
-		LookupInterval: 100 * time.Millisecond,
-		PageSpacing:    time.Second,
-		StoreRetry:     200 * time.Millisecond,
-		RateWindow:     5 * time.Second,
-		RefillBelow:    1.0 / freeDivisor,
-		HeldRequests:   24,
-		LowRequests:    6,
-		IdleAfter:      5 * time.Second,
-		OwnerIdleAfter: 2 * time.Minute,
+		Pages:             16,
+		OwnerHorizon:      10 * time.Second,
+		EntryHorizon:      time.Second,
+		DrawTimeout:       400 * time.Millisecond,
+		LenderTimeout:     100 * time.Millisecond,
+		RecallTimeout:     150 * time.Millisecond,
+		LookupInterval:    100 * time.Millisecond,
+		PageWriteInterval: time.Second,
+		StoreRetry:        200 * time.Millisecond,
+		RateWindow:        5 * time.Second,
+		RefillBelow:       1.0 / freeDivisor,
+		HeldRequests:      24,
+		LowRequests:       6,
+		IdleAfter:         5 * time.Second,
+		OwnerIdleAfter:    2 * time.Minute,
 	}
 }
 
--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -170,17 +170,17 @@
 			continue
 		}
 		age := a.ageAtStart(e)
-		if age.steady < 0 {
+		if age.monotonic < 0 {
 			continue // written by a process that started later than this one
 		}
 		ps.rewriteEscrow = true
 		if !age.proven(e) {
-			a.emit(EscrowWrittenOff{Holder: holder, Steady: age.steady, WallClock: age.wallClock, Tokens: e.tokens()})
+			a.emit(EscrowWrittenOff{Holder: holder, Monotonic: age.monotonic, WallClock: age.wallClock, Tokens: e.tokens()})
 			ps.page.Close(holder)
 			continue
 		}
-		tokens := ps.page.release(holder, e, age.steady)
-		a.emit(EscrowReclaimed{Holder: holder, Age: age.steady, Tokens: tokens})
+		tokens := ps.page.release(holder, e, age.monotonic)
+		a.emit(EscrowReclaimed{Holder: holder, Age: age.monotonic, Tokens: tokens})
 	}
 }
 
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -122,9 +122,9 @@
 type EscrowWrittenOff struct {
 	// Holder is the earlier process.
 	Holder string
-	// Steady and WallClock are the time from its last write to the start of this process,
-	// by the monotonic clock and by the wall clock.
-	Steady, WallClock time.Duration
+	// Monotonic and WallClock are the time from its last write to the start of this
+	// process, by the monotonic clock and by the wall clock.
+	Monotonic, WallClock time.Duration
 	// Tokens are the tokens in escrow at that write, by budget.
 	Tokens map[string]int64
 }
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -135,9 +135,9 @@
 func (a *Agent) writeInterval(ps *pageState) time.Duration {
 	switch {
 	case !ps.urgent():
-		return a.cfg.PageSpacing
+		return a.cfg.PageWriteInterval
 	case a.grants:
-		return a.cfg.DrawSpacing
+		return a.cfg.DrawInterval
 	default:
 		return 0
 	}
--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -47,10 +47,10 @@
 	peers   *peer.Client
 	log     *zap.Logger
 
-	mu      sync.Mutex
-	agent   *budget.Agent
-	waiting map[uint64]chan reservation
-	onStop  func()
+	mu       sync.Mutex
+	agent    *budget.Agent
+	waiting  map[uint64]chan reservation
+	onFenced func()
 	// tickInterval is the time from the last tick to the next one. wake makes Run read the
 	// interval again after it became shorter.
 	tickInterval time.Duration
@@ -78,21 +78,21 @@
 func escrowTime() time.Time { return time.Now() }
 
 // New returns a controller. Without cfg.Owner, the member ranked first for a
-// page's role is the owner of the page's budgets. onStop is called when this holder
+// page's role is the owner of the page's budgets. onFenced is called when this holder
 // learns that it has been fenced.
-func New(cfg budget.Config, s store.Store, m Members, p *peer.Client, log *zap.Logger, onStop func()) *Controller {
+func New(cfg budget.Config, s store.Store, m Members, p *peer.Client, log *zap.Logger, onFenced func()) *Controller {
 	if cfg.Owner == nil {
 		cfg.Owner = ownerByPage(cfg.Pages, m)
 	}
 	return &Controller{
-		store:   s,
-		members: m,
-		peers:   p,
-		log:     log,
-		agent:   budget.NewAgent(cfg),
-		waiting: map[uint64]chan reservation{},
-		wake:    make(chan struct{}, 1),
-		onStop:  onStop,
+		store:    s,
+		members:  m,
+		peers:    p,
+		log:      log,
+		agent:    budget.NewAgent(cfg),
+		waiting:  map[uint64]chan reservation{},
+		wake:     make(chan struct{}, 1),
+		onFenced: onFenced,
 
 		storeLost: cfg.StoreLost,
 	}
@@ -193,9 +193,9 @@
 			zap.Duration("age_ms", e.Age), zap.Any("tokens", e.Tokens))
 	case budget.EscrowWrittenOff:
 		c.log.Warn("tokens of an earlier process written off: its clock may have restarted", zap.String("holder", e.Holder),
-			zap.Duration("steady_age_ms", e.Steady), zap.Duration("time_of_day_age_ms", e.WallClock), zap.Any("tokens", e.Tokens))
+			zap.Duration("steady_age_ms", e.Monotonic), zap.Duration("time_of_day_age_ms", e.WallClock), zap.Any("tokens", e.Tokens))
 	case budget.HolderFenced:
-		c.onStop()
+		c.onFenced()
 	}
 }
 
--- a/controller/ledgers/ledgers.go
+++ b/controller/ledgers/ledgers.go
@@ -41,19 +41,19 @@
 	incarnation string
 	shardCount  int
 
-	mu      sync.Mutex
-	shards  []*lockedShard
-	token   uint64
-	waiting map[uint64]chan ledger.Outcome
-	running map[string]bool
-	bills   map[string]ledger.Op // not known to be committed
-	fenced  map[string]bool      // incarnations whose claims are rejected
-	tasks   sync.WaitGroup
-	onStop  func()
+	mu       sync.Mutex
+	shards   []*lockedShard
+	token    uint64
+	waiting  map[uint64]chan ledger.Outcome
+	running  map[string]bool
+	bills    map[string]ledger.Op // not known to be committed
+	fenced   map[string]bool      // incarnations whose claims are rejected
+	tasks    sync.WaitGroup
+	onFenced func()
 }
 
-// StopFenced calls onStop. It is used when this router learns that it has been fenced.
-func (c *Controller) StopFenced() { c.onStop() }
+// StopFenced calls onFenced. It is used when this router learns that it has been fenced.
+func (c *Controller) StopFenced() { c.onFenced() }
 
 // lockedShard is a ledger shard with its lock.
 type lockedShard struct {
@@ -61,9 +61,9 @@
 	shard *ledger.Shard
 }
 
-// New returns a controller of count shards, which share cfg. onStop is called when
+// New returns a controller of count shards, which share cfg. onFenced is called when
 // this router learns that it has been fenced.
-func New(cfg ledger.Config, count int, s store.Store, m *members.Controller, p *peer.Client, log *zap.Logger, onStop func()) *Controller {
+func New(cfg ledger.Config, count int, s store.Store, m *members.Controller, p *peer.Client, log *zap.Logger, onFenced func()) *Controller {
 	c := &Controller{
 		store:       s,
 		members:     m,
@@ -75,7 +75,7 @@
 		running:     map[string]bool{},
 		bills:       map[string]ledger.Op{},
 		fenced:      map[string]bool{},
-		onStop:      onStop,
+		onFenced:    onFenced,
 	}
 	for n := range count {
 		cfg.Shard = n
--- a/server/escrow_test.go
+++ b/server/escrow_test.go
@@ -20,11 +20,11 @@
 	var cfg budget.Config
 	s.escrowConfig(&cfg)
 	machine.Suspend(7 * time.Second)
-	var steady unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	var monotonic unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		t.Fatal(err)
 	}
-	if off := cfg.Uptime(time.Now()) - time.Duration(steady.Nano()); off.Abs() > time.Second {
+	if off := cfg.Uptime(time.Now()) - time.Duration(monotonic.Nano()); off.Abs() > time.Second {
 		t.Errorf("the uptime differs from the monotonic clock by %s", off)
 	}
 }
--- a/server/provision.go
+++ b/server/provision.go
@@ -233,8 +233,8 @@
 	cfg.FinalReserveTime = finalReserveTime
 	cfg.ScarceHorizon = scarceHorizon
 	cfg.LookupInterval = 500 * time.Millisecond
-	cfg.DrawSpacing = drawBatchInterval
-	cfg.PageSpacing = pageWriteInterval
+	cfg.DrawInterval = drawBatchInterval
+	cfg.PageWriteInterval = pageWriteInterval
 	cfg.DrawTimeout = drawTimeout
 	cfg.Running = s.running
 	cfg.Lenders = s.lenders
