--- a/controller/configs/configs.go
+++ b/controller/configs/configs.go
@@ -55,7 +55,7 @@
 func (c *Controller) Changed(objects []store.Object) {
 	for _, o := range objects {
 		if o.Key == c.key && !o.Deleted {
-			c.Take(o.Value, "store")
+			c.Apply(o.Value, "store")
 		}
 	}
 }
@@ -63,15 +63,15 @@
 // Advanced implements follow.Handler.
 func (c *Controller) Advanced(int64) {}
 
-// Lost implements follow.Handler. The configuration stays active.
-func (c *Controller) Lost() {}
+// StoreLost implements follow.Handler. The configuration stays active.
+func (c *Controller) StoreLost() {}
 
-// Regained implements follow.Handler.
-func (c *Controller) Regained() {}
+// StoreRestored implements follow.Handler.
+func (c *Controller) StoreRestored() {}
 
-// Take decodes a configuration and activates it if it is newer. source names its
+// Apply decodes a configuration and activates it if it is newer. source names its
 // origin in the log. Decoding errors are logged, and the active one is kept.
-func (c *Controller) Take(raw []byte, source string) {
+func (c *Controller) Apply(raw []byte, source string) {
 	next, err := guard.Call(func() (*catalog.Catalog, error) { return c.decode(raw) })
 	if err != nil {
 		c.log.Error("cannot decode configuration; keeping the active version", zap.String("source", source), zap.Int64("config", c.Version()), zap.Error(err))
--- a/controller/registry/lapse_test.go
+++ b/controller/registry/lapse_test.go
@@ -24,9 +24,9 @@
 // regainAfterOutage registers the servers and disconnects the router from the store for nine seconds.
 func regainAfterOutage(c *registry.Controller) {
 	c.Listed(registered(serverCount, 1), serverCount)
-	c.Lost()
+	c.StoreLost()
 	time.Sleep(9 * time.Second)
-	c.Regained()
+	c.StoreRestored()
 }
 
 // Guards against requests to servers that stopped while the routers, and only they, were
@@ -36,7 +36,7 @@
 func TestServersThatLeftWhileRoutersWereDisconnectedGetNoRequest(t *testing.T) {
 	for name, answer := range map[string]func(*registry.Controller){
 		"by a list":         func(c *registry.Controller) { c.Listed(registered(serverCount-2, 1), newest) },
-		"by another's list": func(c *registry.Controller) { c.TakeListed(receivedFrom(registered(serverCount-2, 1)), newest) },
+		"by another's list": func(c *registry.Controller) { c.ApplyList(receivedFrom(registered(serverCount-2, 1)), newest) },
 		"by changes":        func(c *registry.Controller) { c.Changed([]store.Object{gone("s8"), gone("s9")}) },
 		"one change each": func(c *registry.Controller) {
 			c.Changed([]store.Object{gone("s8")})
@@ -50,7 +50,7 @@
 				regainAfterOutage(c)
 				answer(c)
 				for _, id := range []string{"s8", "s9"} {
-					if c.TakesWork(incarnationOf(id)) {
+					if c.AcceptsRequests(incarnationOf(id)) {
 						t.Errorf("%s has left and still gets requests", id)
 					}
 				}
@@ -77,7 +77,7 @@
 			c.Changed(deletions(0, serverCount))
 		},
 		"told by another": func(c *registry.Controller) {
-			c.TakeChanged(receivedFrom(deletions(0, serverCount)))
+			c.ApplyChanges(receivedFrom(deletions(0, serverCount)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -54,7 +54,7 @@
 	servers      *placement.Servers
 	rng          *rand.Rand
 	missing      map[string]time.Time // until when each server without registration is kept
-	regainedAt   time.Time            // when the connection to the store was last regained
+	restoredAt   time.Time            // when the connection to the store was last restored
 	lapseChecked bool                 // whether the lapse check has been done since then
 	lapsed       bool                 // whether registrations lapsed in the last outage
 	listed       bool
@@ -127,7 +127,7 @@
 func (c *Controller) keepsConnections(in placement.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.servers.Runs(in)
+	return c.servers.IsRegistered(in)
 }
 
 // logSlowServers logs the servers that long prompts begin or cease to avoid.
@@ -179,11 +179,11 @@
 // Listed implements follow.Handler. Entries newer than the list's revision stay
 // unchanged, since a list from another router may be older than the local state.
 func (c *Controller) Listed(objects []store.Object, revision int64) {
-	c.TakeListed(changelog.Fresh(objects), revision)
+	c.ApplyList(changelog.Fresh(objects), revision)
 }
 
-// TakeListed applies a list of all registrations from another router.
-func (c *Controller) TakeListed(objects []changelog.Received, revision int64) {
+// ApplyList applies a list of all registrations from another router.
+func (c *Controller) ApplyList(objects []changelog.Received, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	present := make(map[string]changelog.Received, len(objects))
@@ -239,16 +239,16 @@
 }
 
 // Changed implements follow.Handler.
-func (c *Controller) Changed(objects []store.Object) { c.TakeChanged(changelog.Fresh(objects)) }
+func (c *Controller) Changed(objects []store.Object) { c.ApplyChanges(changelog.Fresh(objects)) }
 
-// TakeUpdate applies all changes up to a revision from another router.
-func (c *Controller) TakeUpdate(objects []changelog.Received, revision int64) {
-	c.TakeChanged(objects)
+// ApplyUpdate applies all changes up to a revision from another router.
+func (c *Controller) ApplyUpdate(objects []changelog.Received, revision int64) {
+	c.ApplyChanges(objects)
 	c.Advanced(revision)
 }
 
-// TakeChanged applies changes from another router.
-func (c *Controller) TakeChanged(objects []changelog.Received) {
+// ApplyChanges applies changes from another router.
+func (c *Controller) ApplyChanges(objects []changelog.Received) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lapseCheckDue() {
@@ -268,8 +268,8 @@
 	c.logSuppressed()
 }
 
-// Lost implements follow.Handler. Known servers stay in use.
-func (c *Controller) Lost() {}
+// StoreLost implements follow.Handler. Known servers stay in use.
+func (c *Controller) StoreLost() {}
 
 // apply applies a registration. A registration that cannot be decoded removes the server that
 // it replaces, until that server registers again.
@@ -322,7 +322,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.Now = clock.Now()
-	q.Open = func(s placement.Server, cold bool) bool { return c.allowedByRate(q, s, cold) }
+	q.MayAdmit = func(s placement.Server, cold bool) bool { return c.allowedByRate(q, s, cold) }
 	s, ok := c.servers.Pick(c.rng, q)
 	if ok {
 		c.servers.Sent(s.Incarnation(), q.Tokens)
@@ -330,41 +330,41 @@
 	return s, ok
 }
 
-// TakesWork reports whether a server process runs and is not leaving.
-func (c *Controller) TakesWork(in placement.Incarnation) bool {
+// AcceptsRequests reports whether a server process runs and is not leaving.
+func (c *Controller) AcceptsRequests(in placement.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.servers.TakesWork(in)
+	return c.servers.AcceptsRequests(in)
 }
 
-// Read records that a server has processed the prompt of a request, or will no
+// RecordPromptRead records that a server has processed the prompt of a request, or will no
 // longer process it.
-func (c *Controller) Read(in placement.Incarnation, tokens int64) {
+func (c *Controller) RecordPromptRead(in placement.Incarnation, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers.Read(in, tokens)
+	c.servers.RecordPromptRead(in, tokens)
 }
 
-// Released undoes Pick for a request that was not sent.
-func (c *Controller) Released(in placement.Incarnation, tokens int64) {
+// CancelPick undoes Pick for a request that was not sent.
+func (c *Controller) CancelPick(in placement.Incarnation, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers.Read(in, tokens)
-	c.servers.Ended(in, placement.Neutral)
+	c.servers.RecordPromptRead(in, tokens)
+	c.servers.RecordOutcome(in, placement.Neutral)
 }
 
-// Paced records the time between two events of a stream.
-func (c *Controller) Paced(in placement.Incarnation, gap time.Duration) {
+// RecordEventInterval records the time between two events of a stream.
+func (c *Controller) RecordEventInterval(in placement.Incarnation, gap time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers.Paced(in, gap)
+	c.servers.RecordEventInterval(in, gap)
 }
 
-// Ended records the outcome of a request to a server process.
-func (c *Controller) Ended(in placement.Incarnation, outcome placement.Outcome) {
+// RecordOutcome records the outcome of a request to a server process.
+func (c *Controller) RecordOutcome(in placement.Incarnation, outcome placement.Outcome) {
 	c.mu.Lock()
 	was := c.servers.IsEjected(in)
-	down := c.servers.Ended(in, outcome)
+	down := c.servers.RecordOutcome(in, outcome)
 	c.mu.Unlock()
 	if down && !was {
 		c.log.Warn("server ejected", zap.String("server", in.ID), zap.Int64("started", in.Started))
@@ -379,8 +379,8 @@
 	c.log.Info("server replaced at its address", zap.String("server", in.ID), zap.Int64("started", in.Started))
 }
 
-// Draw returns a random number in [0, n); n must be positive.
-func (c *Controller) Draw(n int) int {
+// RandomInt returns a random number in [0, n); n must be positive.
+func (c *Controller) RandomInt(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -385,24 +385,24 @@
 		Changed: r.servers.SetEvacuated,
 		Log:     zap.NewNop(),
 	})
-	r.verdicts = verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Fleet: verdictPeers{fleetCalls{f}, r}, Updated: r.fromRelays, PausesNoticed: true, Log: zap.NewNop()})
+	r.verdicts = verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Fleet: verdictPeers{fleetCalls{f}, r}, Updated: r.fromRelays, OwnerDetectsPauses: true, Log: zap.NewNop()})
 	r.limits = limits.New(limits.Options{
-		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, Settled: func() bool { return true },
-		Updated: r.fromRelays, Driven: true,
-		Runs: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
+		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, KnowsFleet: func() bool { return true },
+		Updated: r.fromRelays, OwnerTicks: true,
+		IsRegistered: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
 	})
 	r.updates = updates.New(updates.Options{
 		Configs: r.configs, Servers: r.servers, Members: known, Calls: fleetCalls{f},
 		Verdicts: r.verdicts, Limits: r.limits, Evacuations: r.evacuations,
 		Self: self.ID + "/1", Domain: self.Domain,
-		Lost:       func() bool { return count((*follow.Follower).Lost) > 0 },
-		Fresh:      func() bool { return count((*follow.Follower).Fresh) == len(followers) },
-		AsOf:       func() updates.Timestamps { return asOf(followers) },
-		StaleAfter: f.staleAfter,
-		AskEvery:   func() time.Duration { return f.parts().Ask },
-		Answered:   answered,
-		Large:      isLarge,
-		Log:        zap.NewNop(),
+		StoreCallFailed: func() bool { return count((*follow.Follower).StoreLost) > 0 },
+		StoreFresh:      func() bool { return count((*follow.Follower).StoreFresh) == len(followers) },
+		AsOf:            func() updates.Timestamps { return asOf(followers) },
+		StaleAfter:      f.staleAfter,
+		RequestInterval: func() time.Duration { return f.parts().RequestInterval },
+		Answered:        answered,
+		Large:           isLarge,
+		Log:             zap.NewNop(),
 	})
 	if r.roster != nil {
 		r.updates.Routers = r.roster
@@ -410,7 +410,7 @@
 	following := func(kind string, handler follow.Handler) follow.Options {
 		return follow.Options{
 			Store: f.storeOf(n), Prefix: kind, Handler: handler, Role: r.updates.Role,
-			Bound: f.parts, Changed: r.updates.RoleChanged, IsRelay: r.updates.IsRelay, Answered: r.updates.StoreAnswered, Log: zap.NewNop(),
+			Bound: f.parts, RoleChanged: r.updates.RoleChanged, IsRelay: r.updates.IsRelay, Answered: r.updates.StoreAnswered, Log: zap.NewNop(),
 			Probe:             routerStore{f.objects, n, f}.probe,
 			AnsweredElsewhere: r.updates.RecentlyUpdated,
 		}
@@ -419,11 +419,11 @@
 	registrations.ReceivedRevision = r.servers.Revision
 	servers := follow.New(registrations)
 	config := following("config", r.configs)
-	config.Prober = servers.Fresh
+	config.ProbedElsewhere = servers.StoreFresh
 	followers = []*follow.Follower{follow.New(config), servers}
 	if f.evacuates {
 		evacuating := following("evacuated", r.evacuations)
-		evacuating.Prober = servers.Fresh
+		evacuating.ProbedElsewhere = servers.StoreFresh
 		evacuating.Bound = evacuationParts
 		followers = append(followers, follow.New(evacuating))
 	}
@@ -663,7 +663,7 @@
 			f.ignore(func(int) bool { return true })
 			time.Sleep(8 * time.Second)
 			f.ignore(nobody)
-			time.Sleep(bound.AskEvery)
+			time.Sleep(bound.RequestInterval)
 			f.waitForAnyAnswer()
 			time.Sleep(time.Second)
 			if n := f.relaysUpdated(); n < domains*2 {
@@ -689,7 +689,7 @@
 	relays := f.all[0].updates.RelayIDs()
 	n := 0
 	for _, r := range f.all {
-		if slices.Contains(relays, r.members.Self().ID) && (r.updates.Fresh() || r.updates.UpToDate()) {
+		if slices.Contains(relays, r.members.Self().ID) && (r.updates.StoreFresh() || r.updates.UpToDate()) {
 			n++
 		}
 	}
@@ -822,7 +822,7 @@
 		time.Sleep(5 * time.Second)
 		request := poison.Identity{Body: []byte("k")}.Fingerprint()
 		for n := range 3 {
-			f.all[7*n+5].verdicts.Broke(placement.Server{ID: "first", Service: "svc", Started: int64(n)}, request)
+			f.all[7*n+5].verdicts.RecordBroken(placement.Server{ID: "first", Service: "svc", Started: int64(n)}, request)
 			time.Sleep(time.Second)
 		}
 		for _, r := range f.all {
@@ -900,7 +900,7 @@
 // allUsable reports every server as accepting requests.
 type allUsable struct{}
 
-func (allUsable) TakesWork(placement.Incarnation) bool { return true }
+func (allUsable) AcceptsRequests(placement.Incarnation) bool { return true }
 
 func (r *testRouter) addrOf(id string) string {
 	addr, _ := r.members.Addr(id)
--- a/controller/updates/pair_test.go
+++ b/controller/updates/pair_test.go
@@ -71,7 +71,7 @@
 			Limits:      limits.New(limits.Options{Log: zap.NewNop()}),
 			Evacuations: evacuations.New(evacuations.Options{Log: zap.NewNop()}),
 			Self:        member(self).ID + "/1", Domain: member(self).Domain,
-			Lost: func() bool { return false }, Fresh: fresh,
+			StoreCallFailed: func() bool { return false }, StoreFresh: fresh,
 			AsOf:       asOf,
 			StaleAfter: (&fleet{}).staleAfter, Answered: never,
 			Large: func() bool { return true },
@@ -112,7 +112,7 @@
 		time.Sleep(2 * time.Second)
 		p.fresh = false
 		time.Sleep(2 * time.Second)
-		if p.ours.TakesWork(placement.Incarnation{ID: "b"}) {
+		if p.ours.AcceptsRequests(placement.Incarnation{ID: "b"}) {
 			t.Error("a server that left between two answers of the store stays in use")
 		}
 	})
@@ -128,7 +128,7 @@
 		p.fresh = true
 		go p.asking.Run(t.Context())
 		time.Sleep(2 * time.Second)
-		if !p.ours.TakesWork(placement.Incarnation{ID: "c"}) {
+		if !p.ours.AcceptsRequests(placement.Incarnation{ID: "c"}) {
 			t.Error("a server was dropped by a list that is older than its registration")
 		}
 	})
@@ -184,7 +184,7 @@
 		go p.asking.Run(t.Context())
 		time.Sleep(time.Second)
 		p.stuck = true
-		p.theirConfigs.Take([]byte("7"), "store")
+		p.theirConfigs.Apply([]byte("7"), "store")
 		parts := (&fleet{}).parts()
 		for range 100 { // a change is due within the bound
 			time.Sleep(parts.Sum() / 100)
--- a/controller/updates/roles.go
+++ b/controller/updates/roles.go
@@ -14,7 +14,7 @@
 // ranking all would stop as soon as they update each other, and no router would watch the store.
 func (c *Controller) Role() follow.Role {
 	if !c.Large() || c.isWatcher() {
-		return follow.Watches
+		return follow.Watcher
 	}
 	if c.isReadingList() || c.awaitsServers() {
 		return follow.Idle // the store would send the same list
@@ -23,7 +23,7 @@
 		return follow.Fallback // others wait for its updates, also those that the store refuses
 	}
 	origin, upToDate := c.updateOrigin()
-	if !upToDate || c.Fresh() && c.outranks(origin) {
+	if !upToDate || c.StoreFresh() && c.outranks(origin) {
 		return follow.Fallback
 	}
 	return follow.Idle
@@ -65,7 +65,7 @@
 // watch them. In a small fleet routers introduce themselves to each other.
 func (c *Controller) RosterRole() follow.Role {
 	if c.Large() && c.isWatcher() {
-		return follow.Watches
+		return follow.Watcher
 	}
 	return follow.Idle
 }
--- a/filter/forward/forward.go
+++ b/filter/forward/forward.go
@@ -42,8 +42,8 @@
 	Started(id string)
 	Finished(id string, failed bool)
 	Load(id string, load float64)
-	// Left records that a server announced that it is draining.
-	Left(id string)
+	// ReportLeaving records that a server announced that it is draining.
+	ReportLeaving(id string)
 }
 
 // Config provides the configuration in force.
@@ -145,7 +145,7 @@
 		return final
 	case !retry.Allowed(retryState, x.NotRepeatable):
 		return notRetryable(x, final)
-	case try >= h.opts.Attempts || f.Server == "", record.EndsServers(ctx):
+	case try >= h.opts.Attempts || f.Server == "", record.MayCrashServers(ctx):
 		return final.After(backendRetryAfter)
 	}
 	h.mu.Lock()
@@ -238,7 +238,7 @@
 		a.h.routes.Load(a.server.ID, resp.Load)
 	}
 	if resp.Leaving {
-		a.h.routes.Left(a.server.ID)
+		a.h.routes.ReportLeaving(a.server.ID)
 	}
 }
 
@@ -247,7 +247,7 @@
 func (a *attempt) chargeFailure(f *engine.Failure) *engine.Failure {
 	f.Server = a.server.ID
 	if f.Leaving {
-		a.h.routes.Left(a.server.ID)
+		a.h.routes.ReportLeaving(a.server.ID)
 	}
 	if f.Code == result.ForeignAnswer {
 		a.h.metrics.Dropped.Inc()
--- a/filter/forward/forward_test.go
+++ b/filter/forward/forward_test.go
@@ -34,12 +34,12 @@
 func (oneServer) Started(string)        {}
 func (oneServer) Finished(string, bool) {}
 func (oneServer) Load(string, float64)  {}
-func (oneServer) Left(string)           {}
+func (oneServer) ReportLeaving(string)  {}
 
 // noneDraining reports every server as accepting requests.
 type noneDraining struct{}
 
-func (noneDraining) TakesWork(placement.Incarnation) bool { return true }
+func (noneDraining) AcceptsRequests(placement.Incarnation) bool { return true }
 
 type emptyConfig struct{}
 
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -145,7 +145,7 @@
 	if status >= http.StatusInternalServerError {
 		a.outcome = result.BackendError // a server may return this status before it starts the request
 	} else if complete {
-		a.poisonStatus().Ran(a.service.Name)
+		a.poisonStatus().RecordSuccess(a.service.Name)
 	}
 	return a.finish(served, "answered", outcomeForStatus(status), nil)
 }
@@ -214,7 +214,7 @@
 func (a *attempt) recordEventTiming(events int) {
 	now := clock.Now()
 	if !a.lastEventAt.IsZero() {
-		a.g.Servers.Paced(a.server.Incarnation(), now.Sub(a.lastEventAt)/time.Duration(events))
+		a.g.Servers.RecordEventInterval(a.server.Incarnation(), now.Sub(a.lastEventAt)/time.Duration(events))
 	}
 	a.lastEventAt = now
 	a.stream.recordProgress(now)
@@ -264,7 +264,7 @@
 		return a.endBroken(ctx, upstream.ErrUnframed)
 	}
 	if complete {
-		a.poisonStatus().Ran(a.service.Name)
+		a.poisonStatus().RecordSuccess(a.service.Name)
 	} else {
 		a.countTokens(1) // a server that crashed may have generated one event that it did not send
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -80,7 +80,7 @@
 	// pending is the number of prompt tokens that the server has yet to process.
 	pending     int64
 	failureRate float64
-	// eventInterval is the estimate that Paced maintains, in seconds; 0 if unknown.
+	// eventInterval is the estimate that RecordEventInterval maintains, in seconds; 0 if unknown.
 	eventInterval          float64
 	consecutiveUnreachable int
 	ejected                bool
@@ -212,8 +212,8 @@
 	return ok
 }
 
-// Runs reports whether this process is the registered one of its server.
-func (f *Servers) Runs(in Incarnation) bool { return f.lookup(in) != nil }
+// IsRegistered reports whether this process is the registered one of its server.
+func (f *Servers) IsRegistered(in Incarnation) bool { return f.lookup(in) != nil }
 
 // Get returns a registered server.
 func (f *Servers) Get(id string) (Server, bool) {
@@ -224,8 +224,8 @@
 	return s.Server, true
 }
 
-// TakesWork reports whether a process is registered and not leaving.
-func (f *Servers) TakesWork(in Incarnation) bool {
+// AcceptsRequests reports whether a process is registered and not leaving.
+func (f *Servers) AcceptsRequests(in Incarnation) bool {
 	s := f.lookup(in)
 	return s != nil && !s.Leaving
 }
@@ -272,10 +272,10 @@
 	Domain string
 	// Now is the time of the selection.
 	Now time.Time
-	// Open reports whether the rate limit of a server admits the request; cold is set
+	// MayAdmit reports whether the rate limit of a server admits the request; cold is set
 	// while the server is in slow start. nil admits all. It is called only for servers that
 	// are otherwise eligible.
-	Open func(s Server, cold bool) bool
+	MayAdmit func(s Server, cold bool) bool
 	// Rank is the priority of the request at rate-limited servers; 0 is the highest.
 	Rank int
 	// Unrestricted excludes rate-limited servers.
@@ -289,7 +289,7 @@
 	if q.InDomain != nil && !q.InDomain(s.Domain) {
 		return false
 	}
-	return q.Open == nil || q.Open(s.Server, q.Now.Before(s.coldUntil))
+	return q.MayAdmit == nil || q.MayAdmit(s.Server, q.Now.Before(s.coldUntil))
 }
 
 // Pick returns the server for the request; false means that no server can accept it.
--- a/router/router.go
+++ b/router/router.go
@@ -140,7 +140,7 @@
 	r.verdicts = verdicts.New(verdicts.Options{
 		Checker: r.probes,
 		Servers: activeServers{r.health},
-		Fleet:   verdicts.Over{Audience: spread.Audience{Members: r.members}, Client: r.peers},
+		Fleet:   verdicts.PeerFleet{Recipients: spread.Recipients{Members: r.members}, Client: r.peers},
 		Store:   r.store,
 		Log:     r.log,
 	})
@@ -161,8 +161,8 @@
 // draining.
 type activeServers struct{ health *health.Controller }
 
-// TakesWork implements verdicts.Servers.
-func (s activeServers) TakesWork(in placement.Incarnation) bool {
+// AcceptsRequests implements verdicts.Servers.
+func (s activeServers) AcceptsRequests(in placement.Incarnation) bool {
 	return !slices.Contains(s.health.Leaving(), in.ID)
 }
 
@@ -282,7 +282,7 @@
 func (r *Router) Stop(ctx context.Context) {
 	r.leaving.Store(true)
 	r.log.Info("leaving")
-	health.Tell(r.members, r.peers, &peer.LeavingRequest{Kind: "router", ID: r.settings.Instance.ID})
+	health.SendLeaving(r.members, r.peers, &peer.LeavingRequest{Kind: "router", ID: r.settings.Instance.ID})
 	r.members.SetLeaving(r.settings.Instance.ID)
 	_ = wait.For(ctx, r.settings.Requests.LeaveGrace.Std())
 	r.refusing.Store(true)
--- a/server/provision.go
+++ b/server/provision.go
@@ -55,13 +55,13 @@
 	s.verdicts = verdicts.New(verdicts.Options{
 		Checker: s.pool,
 		Servers: s.servers,
-		Fleet:   verdicts.Over{Audience: s.audience(), Client: s.peers},
+		Fleet:   verdicts.PeerFleet{Recipients: s.recipients(), Client: s.peers},
 		Store:   s.store,
 		Stale:   s.largeFleet,
 		Updated: s.updatedByRelays,
 		Log:     s.log,
 
-		PausesNoticed: true,
+		OwnerDetectsPauses: true,
 	})
 	s.budgets = budgets.New(s.budgetConfig(), s.store, s.members, s.peers, s.log, func() {})
 	s.configs = configs.New(s.platform.ConfigKey, s.platform.DecodeConfig, s.configChanged, s.log)
@@ -104,28 +104,28 @@
 		Verdicts: s.verdicts,
 		Limits:   s.limits,
 
-		Calls:  updates.Over(s.peers),
-		Self:   s.incarnation,
-		Domain: s.settings.Instance.Domain,
-		Lost:   s.lastStoreCallFailed,
-		Fresh:  s.storeFresh,
-		Large:  s.largeFleet,
-		Log:    s.log,
-
-		AsOf:       s.storeAsOf,
-		StaleAfter: s.staleAfter,
-		AskEvery:   s.updateInterval,
-		Answered:   s.store.Answered,
-		Failed:     s.peerCallFailed,
-		Timeout:    s.peers.Timeout,
-
-		Took: func(d time.Duration) { s.queue.Observe(clock.Now(), d) },
+		Calls:           updates.NewPeerCalls(s.peers),
+		Self:            s.incarnation,
+		Domain:          s.settings.Instance.Domain,
+		StoreCallFailed: s.lastStoreCallFailed,
+		StoreFresh:      s.storeFresh,
+		Large:           s.largeFleet,
+		Log:             s.log,
+
+		AsOf:            s.storeAsOf,
+		StaleAfter:      s.staleAfter,
+		RequestInterval: s.updateInterval,
+		Answered:        s.store.Answered,
+		OnFailure:       s.peerCallFailed,
+		Timeout:         s.peers.Timeout,
+
+		ObserveDuration: func(d time.Duration) { s.queue.Observe(clock.Now(), d) },
 	})
 	servers := s.followerOptions(s.platform.ServerKind, s.servers, s.settings.Bounds.Leave.Std())
 	servers.ReceivedRevision = s.servers.Revision
 	s.followServers = follow.New(servers)
 	configs := s.followerOptions(s.platform.ConfigKind, s.configs, s.settings.Bounds.Apply.Std())
-	configs.Prober = s.followServers.Fresh
+	configs.ProbedElsewhere = s.followServers.StoreFresh
 	s.followConfigs = follow.New(configs)
 	routers := s.followerOptions(roster.Kind, s.roster, routerListBound)
 	routers.Role = s.updates.RosterRole
@@ -133,7 +133,7 @@
 	s.followRouters = follow.New(routers)
 	if within := s.settings.Bounds.Evacuate.Std(); within > 0 {
 		evacuations := s.followerOptions(s.platform.EvacuationKind, s.evacuations, within)
-		evacuations.Prober = s.followServers.Fresh
+		evacuations.ProbedElsewhere = s.followServers.StoreFresh
 		s.followEvacuations = follow.New(evacuations)
 	}
 }
@@ -142,17 +142,17 @@
 // effect at every router within the given time.
 func (s *Server) followerOptions(kind string, h follow.Handler, within time.Duration) follow.Options {
 	return follow.Options{
-		Store:    s.store,
-		Prefix:   kind,
-		Handler:  h,
-		Role:     s.updates.Role,
-		Fleet:    s.roster.Size,
-		IsRelay:  s.updates.IsRelay,
-		Bound:    func() bound.Parts { return s.parts(within) },
-		Changed:  s.updates.RoleChanged,
-		Answered: s.updates.StoreAnswered,
-		Probe:    s.probeStore,
-		Log:      s.log,
+		Store:       s.store,
+		Prefix:      kind,
+		Handler:     h,
+		Role:        s.updates.Role,
+		Fleet:       s.roster.Size,
+		IsRelay:     s.updates.IsRelay,
+		Bound:       func() bound.Parts { return s.parts(within) },
+		RoleChanged: s.updates.RoleChanged,
+		Answered:    s.updates.StoreAnswered,
+		Probe:       s.probeStore,
+		Log:         s.log,
 
 		AnsweredElsewhere: s.updates.RecentlyUpdated,
 	}
@@ -189,7 +189,7 @@
 		FirstStart: s.settings.Fleet.FirstStart,
 		Store:      s.store,
 		Members:    s.members,
-		Calls:      roster.Over(s.helloClient),
+		Calls:      roster.NewPeerCalls(s.helloClient),
 		Log:        s.log,
 	})
 }
@@ -233,8 +233,8 @@
 	cfg.FinalReserveTime = finalReserveTime
 	cfg.ScarceHorizon = scarceHorizon
 	cfg.LookupInterval = 500 * time.Millisecond
-	cfg.DrawSpacing = drawBatchInterval
-	cfg.PageSpacing = pageWriteInterval
+	cfg.DrawInterval = drawBatchInterval
+	cfg.PageWriteInterval = pageWriteInterval
 	cfg.DrawTimeout = drawTimeout
 	cfg.Running = s.running
 	cfg.Lenders = s.lenders
