--- a/controller/limits/fleet_test.go
+++ b/controller/limits/fleet_test.go
@@ -102,8 +102,8 @@
 	r.startedAt, r.stop, r.dead = begun, cancel, false
 	r.Controller = limits.New(limits.Options{
 		Self: idOf(r.number), Fleet: r, Log: zap.NewNop(),
-		KnowsFleet:   func() bool { return time.Since(begun) >= 4*time.Second },
-		IsRegistered: func(placement.Incarnation) bool { return true },
+		KnowsFleet:      func() bool { return time.Since(begun) >= 4*time.Second },
+		AcceptsRequests: func(placement.Incarnation) bool { return true },
 	})
 	go r.Run(ctx)
 }
--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -62,8 +62,9 @@
 	Fleet Fleet
 	// KnowsFleet reports whether this router knows the others. Until then it grants no permits.
 	KnowsFleet func() bool
-	// IsRegistered reports whether a process is registered.
-	IsRegistered func(placement.Incarnation) bool
+	// AcceptsRequests reports whether a process is registered and not leaving. The limits of other
+	// processes are dropped.
+	AcceptsRequests func(placement.Incarnation) bool
 	// Updated reports whether relays send this router all reports, so that it asks no other
 	// router at its start; nil: none do.
 	Updated func() bool
@@ -160,15 +161,15 @@
 	}
 }
 
-// expire drops the state of processes that are gone, and expired permits and denials. It calls
-// IsRegistered without the lock, since its implementer calls this controller.
+// expire drops the state of processes that are gone or leaving, and expired permits and denials.
+// It calls AcceptsRequests without the lock, since its implementer calls this controller.
 func (c *Controller) expire(now time.Time) {
 	c.mu.Lock()
 	known := c.table.Servers()
 	c.mu.Unlock()
 	gone := known[:0]
 	for _, server := range known {
-		if !c.IsRegistered(server) {
+		if !c.AcceptsRequests(server) {
 			gone = append(gone, server)
 		}
 	}
--- a/controller/members/members.go
+++ b/controller/members/members.go
@@ -118,7 +118,7 @@
 	}
 	c.mu.Lock()
 	c.view.SetList(list)
-	c.dropCaches()
+	c.dropRankings()
 	c.mu.Unlock()
 	for _, fn := range c.onList {
 		fn(backends)
@@ -178,8 +178,8 @@
 	return c.view.Precedes(role, id, other)
 }
 
-// dropCaches drops the cached rankings. The caller holds the lock.
-func (c *Controller) dropCaches() {
+// dropRankings drops the cached rankings. The caller holds the lock.
+func (c *Controller) dropRankings() {
 	clear(c.firstByRole)
 	clear(c.ownersByRole)
 }
@@ -272,7 +272,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.Add(m)
-	c.dropCaches()
+	c.dropRankings()
 }
 
 // Registered adds registered routers, and removes those whose registrations were deleted.
@@ -287,7 +287,7 @@
 		c.view.Add(m)
 	}
 	c.live = cachedCount{}
-	c.dropCaches()
+	c.dropRankings()
 }
 
 // Retain removes all routers except this one and those that keep accepts.
@@ -339,7 +339,7 @@
 	now := clock.Now()
 	known := c.view.Suspected(now, id)
 	c.view.ReportFailure(now, id)
-	c.dropCaches()
+	c.dropRankings()
 	leftOut, due := int64(0), false
 	if !known {
 		leftOut, due = c.failureLog(id).Due(now, failureLogInterval)
@@ -367,7 +367,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view.Suspected(clock.Now(), id) {
-		c.dropCaches()
+		c.dropRankings()
 	}
 	c.view.ReportSuccess(id)
 }
@@ -377,5 +377,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view.SetLeaving(id)
-	c.dropCaches()
+	c.dropRankings()
 }
--- a/controller/registry/cold_test.go
+++ b/controller/registry/cold_test.go
@@ -29,7 +29,7 @@
 
 func withCold(c *registry.Controller) {
 	c.SetLimits(limits.New(limits.Options{
-		Self: "self", Fleet: singleRouter{}, KnowsFleet: func() bool { return true }, IsRegistered: c.AcceptsRequests, Log: zap.NewNop(),
+		Self: "self", Fleet: singleRouter{}, KnowsFleet: func() bool { return true }, AcceptsRequests: c.AcceptsRequests, Log: zap.NewNop(),
 	}))
 	c.SetWarmups(map[string]registry.Warmup{"svc": {Duration: 3 * time.Second, Rate: coldRate}})
 }
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -389,7 +389,7 @@
 	r.limits = limits.New(limits.Options{
 		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, KnowsFleet: func() bool { return true },
 		Updated: r.fromRelays, OwnerTicks: true,
-		IsRegistered: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
+		AcceptsRequests: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
 	})
 	r.updates = updates.New(updates.Options{
 		Configs: r.configs, Servers: r.servers, Members: known, Calls: fleetCalls{f},
--- a/controller/verdicts/request.go
+++ b/controller/verdicts/request.go
@@ -35,7 +35,7 @@
 // Fingerprint returns the request's fingerprint, or nil if it has not been computed.
 func (r *Request) Fingerprint() *poison.Fingerprint { return r.fingerprint }
 
-func (r *Request) computeFingerprint() poison.Fingerprint {
+func (r *Request) ensureFingerprint() poison.Fingerprint {
 	if r.fingerprint == nil {
 		f := r.identity().Fingerprint()
 		r.fingerprint = &f
@@ -52,7 +52,7 @@
 	if !r.verdicts.Watching() {
 		return nil
 	}
-	v, refused := r.verdicts.Admit(r.computeFingerprint())
+	v, refused := r.verdicts.Admit(r.ensureFingerprint())
 	if !refused {
 		return nil
 	}
@@ -61,7 +61,7 @@
 
 // RecordBroken records that the connection to a server closed before the response was complete.
 func (r *Request) RecordBroken(s placement.Server) {
-	r.checked = r.verdicts.RecordBroken(s, r.computeFingerprint())
+	r.checked = r.verdicts.RecordBroken(s, r.ensureFingerprint())
 	r.brokenAttempts++
 }
 
@@ -71,21 +71,21 @@
 // most requests that break off merely ran on a server that crashed, or the server has not
 // crashed, and these are retried at once.
 func (r *Request) MayCrashServers(ctx context.Context) bool {
-	if r.checked == nil || r.brokenAttempts < 2 && r.verdicts.Crashes(r.computeFingerprint()) == 0 {
+	if r.checked == nil || r.brokenAttempts < 2 && r.verdicts.Crashes(r.ensureFingerprint()) == 0 {
 		return false
 	}
 	select {
 	case <-r.checked:
 	case <-ctx.Done():
 	}
-	return r.verdicts.Crashes(r.computeFingerprint()) > 1
+	return r.verdicts.Crashes(r.ensureFingerprint()) > 1
 }
 
 // RecordSuccess records that a server of the service completed the request and is alive, which
 // counts as evidence if other servers crashed while it ran there.
 func (r *Request) RecordSuccess(service string) {
 	if r.verdicts.Watching() {
-		r.verdicts.RecordSuccess(service, r.computeFingerprint())
+		r.verdicts.RecordSuccess(service, r.ensureFingerprint())
 	}
 }
 
@@ -94,8 +94,8 @@
 // concurrent copies then crash one server instead of several, and requests that shared one
 // crash do not share a second one.
 func (r *Request) Affinity() uint64 {
-	if !r.verdicts.Watching() || r.verdicts.Crashes(r.computeFingerprint()) == 0 {
+	if !r.verdicts.Watching() || r.verdicts.Crashes(r.ensureFingerprint()) == 0 {
 		return 0
 	}
-	return r.computeFingerprint().Affinity()
+	return r.ensureFingerprint().Affinity()
 }
--- a/server/cold.go
+++ b/server/cold.go
@@ -23,12 +23,12 @@
 // newLimits returns the controller that enforces the rate limits of backend servers.
 func (s *Server) newLimits() *limits.Controller {
 	return limits.New(limits.Options{
-		Self:         s.settings.Instance.ID,
-		Fleet:        limits.PeerFleet{Recipients: s.recipients(), Client: s.peers},
-		KnowsFleet:   s.rosterSettled,
-		IsRegistered: s.servers.AcceptsRequests,
-		Updated:      s.updatedByRelays,
-		Log:          s.log,
+		Self:            s.settings.Instance.ID,
+		Fleet:           limits.PeerFleet{Recipients: s.recipients(), Client: s.peers},
+		KnowsFleet:      s.rosterSettled,
+		AcceptsRequests: s.servers.AcceptsRequests,
+		Updated:         s.updatedByRelays,
+		Log:             s.log,
 
 		OwnerTicks: true,
 	})
