--- a/bound/bound.go
+++ b/bound/bound.go
@@ -46,8 +46,8 @@
 	maxWatch = 25 * time.Second
 )
 
-// Parts are the time budgets of the stages of a bound. They add up to at most the bound, or to more
-// than a bound that is below 1.4 s in a small fleet or 2.3 s in a large one.
+// Parts are the time budgets of the stages of a bound. Their sum does not exceed the bound unless
+// the bound is below 1.4 s in a small fleet or 2.3 s in a large one.
 type Parts struct {
 	// Watch is how long a watch waits at the store before it is renewed, and therefore the
 	// maximum age of the state of a router that watches the store itself.
--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -14,7 +14,8 @@
 	"github.com/gaplink/gaplink/store"
 )
 
-// Received is an object or its deletion. Age is the time since the store sent it to any router.
+// Received is an object or its deletion. Age is the time since the store sent this copy, to this
+// router or to the one from which it was relayed.
 type Received struct {
 	store.Object
 	Age time.Duration
@@ -34,7 +35,8 @@
 	slices.SortFunc(all, func(a, b Received) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// minRetained is the number of changes retained regardless of the size of the set.
+// minRetained is the number of changes up to which none are dropped, regardless of the size of the
+// set. Beyond the limit, Trim drops changes down to half of it.
 const minRetained = 1024
 
 // Log holds changes in the order of the revisions at which they became complete. The zero value
--- a/controller/follow/follow.go
+++ b/controller/follow/follow.go
@@ -27,8 +27,8 @@
 	// maxBatchPause is the longest pause after a watch that returned changes. A release changes
 	// objects many times a second, and the pause batches them into one call.
 	maxBatchPause = 150 * time.Millisecond
-	// maxBatch is the number of changes to collect for one call: well below the store's limit for
-	// one answer, so that a watch keeps up with any number of writers.
+	// maxBatch is the maximum number of changes to collect for one call: well below the store's
+	// limit for one answer, so that a watch keeps up with any number of writers.
 	maxBatch = 300
 	// freshSlack is how long beyond the duration of a watch the store's last answer counts as
 	// current: the time of a slow answer and of a pause.
@@ -96,7 +96,8 @@
 	// calls as soon as a probe is answered; another router waits for updates first.
 	IsRelay func() bool
 	// Probe makes the cheapest call of the store. It precedes the full calls of a follower whose
-	// last call failed or which has not called the store yet.
+	// last call failed, and of a fallback watcher without a current answer of the store unless
+	// ProbedElsewhere is set.
 	Probe func(context.Context) error
 	// AnsweredElsewhere reports whether the store answers another router.
 	AnsweredElsewhere func() bool
--- a/controller/health/health.go
+++ b/controller/health/health.go
@@ -1,6 +1,6 @@
 // Package health updates the routes to backend servers from the platform's list,
-// from the servers' own reports, and from notices of other routers. The first
-// source that reports a server as leaving takes precedence.
+// from the servers' own reports, and from notices of other routers. A server counts
+// as leaving as soon as any of these sources reports it.
 package health
 
 import (
--- a/controller/registry/changes.go
+++ b/controller/registry/changes.go
@@ -12,7 +12,8 @@
 // entry is a registration as stored.
 type entry struct {
 	store.Object
-	// receivedAt is when the store sent this version to the first router that read it.
+	// receivedAt is when the store sent this version to the router from which this copy
+	// originates, which may be another one than this router.
 	receivedAt time.Time
 	// server is the decoded registration. It is valid only if readable is set.
 	server   placement.Server
@@ -43,8 +44,9 @@
 	return c.changes.Revision()
 }
 
-// Since returns at most the given number of changes of registrations after a store revision,
-// or false if the change log no longer reaches back to it.
+// Since returns the changes of registrations after a store revision: at most the given number,
+// plus those with the same revision as the last of them. It returns false if the change log no
+// longer reaches back to that revision.
 func (c *Controller) Since(revision int64, most int) (changelog.Changes[changelog.Received], bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +59,8 @@
 	return changes, held
 }
 
-// All returns all registrations sorted by key, and the store revision that they reflect.
+// All returns all registrations sorted by key, and the store revision up to which they include
+// all changes.
 func (c *Controller) All() (all []changelog.Received, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/registry/lapse.go
+++ b/controller/registry/lapse.go
@@ -91,8 +91,8 @@
 	return err == nil && s.Leaving
 }
 
-// handleMissing handles a missing registration: it removes the server at once, or keeps it until
-// lapseGrace has passed if the registration may have lapsed.
+// handleMissing handles a missing registration: it removes the server at once, or, if the
+// registration may have lapsed, keeps it until lapseGrace after the store was restored.
 func (c *Controller) handleMissing(id string) {
 	if _, already := c.missing[id]; already || !c.servers.Has(id) {
 		return
--- a/controller/registry/rates.go
+++ b/controller/registry/rates.go
@@ -24,8 +24,8 @@
 	Valid(now time.Time, t limits.Target, p limits.Permit) bool
 }
 
-// SetLimits sets the rate limits to enforce. Call it before the first registration is
-// applied; without it no rate is limited.
+// SetLimits sets the component that enforces the rate limits of servers. Call it before the first
+// registration is applied; without it no rate is limited.
 func (c *Controller) SetLimits(l Limits) { c.limits = l }
 
 // limitTarget returns the target of a rate limit for a request to a server. The caller holds
@@ -75,8 +75,9 @@
 	return c.limits == nil || c.limits.Valid(now, c.limitTarget(s, c.servers.IsCold(now, s.Incarnation()), 0), p)
 }
 
-// NextPermit returns the time until a rate-limited server of a service may accept a request
-// again, or false if no candidate has a rate limit.
+// NextPermit returns the shortest time until a server of a service may get a request again, for
+// a service whose candidates are all closed by rate limits now. It returns false if there is no
+// candidate or if no rate is enforced.
 func (c *Controller) NextPermit(q placement.Query) (wait time.Duration, limited bool) {
 	if c.limits == nil {
 		return 0, false
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -182,7 +182,8 @@
 	c.ApplyList(changelog.Fresh(objects), revision)
 }
 
-// ApplyList applies a list of all registrations from another router.
+// ApplyList applies a list of all registrations from the store or from another router, with their
+// ages.
 func (c *Controller) ApplyList(objects []changelog.Received, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,7 +248,7 @@
 	c.Advanced(revision)
 }
 
-// ApplyChanges applies changes from another router.
+// ApplyChanges applies changes from the store or from another router, with their ages.
 func (c *Controller) ApplyChanges(objects []changelog.Received) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/roster/introduce.go
+++ b/controller/roster/introduce.go
@@ -23,7 +23,7 @@
 	// answer within milliseconds.
 	helloAllTimeout = 250 * time.Millisecond
 	// seedBackoffMin is the first delay between two rounds of requests to the seeds, with a jitter
-	// of half of it. It doubles up to seedBackoffMax.
+	// of half of it either way. It doubles up to seedBackoffMax.
 	seedBackoffMin = 100 * time.Millisecond
 	seedBackoffMax = time.Second
 	// firstStartSpread is the time over which routers spread their requests to the seeds when the
@@ -56,8 +56,8 @@
 	}
 }
 
-// discover makes one attempt to learn about the fleet. fromStore allows a router that is no seed to list
-// the registrations.
+// discover makes one attempt to learn about the fleet. fromStore allows a router that is no seed
+// to list the registrations.
 func (c *Controller) discover(ctx context.Context, fromStore bool) bool {
 	switch {
 	case c.isSeed():
--- a/controller/roster/roster.go
+++ b/controller/roster/roster.go
@@ -34,9 +34,9 @@
 	Large = 16
 	// callTimeout bounds a call to another router.
 	callTimeout = 500 * time.Millisecond
-	// retryBackoffMin is the delay after a failed registration, with a jitter of half of it. It
-	// doubles up to retryBackoffMax: nothing waits for the registration, and all routers that
-	// started during an outage of the store retry.
+	// retryBackoffMin is the first delay after a failed registration, with a jitter of half of it
+	// either way. It doubles up to retryBackoffMax: nothing waits for the registration, and all
+	// routers that started during an outage of the store retry.
 	retryBackoffMin = 500 * time.Millisecond
 	retryBackoffMax = 8 * time.Second
 	// firstStartWait is how long routers wait before they look for each other when the
--- a/controller/updates/answer.go
+++ b/controller/updates/answer.go
@@ -61,8 +61,8 @@
 	return answer, nil
 }
 
-// setSourceState sets whether this router has current state from the store and where it
-// originates: the store itself or, for a relay, the watchers.
+// setSourceState sets whether this router has current state from the store, whether the store is
+// lost, and where it knows this from: the store itself or, at a relay, the watchers.
 func (c *Controller) setSourceState(answer *peer.UpdatesAnswer) {
 	answer.Lost = c.StoreCallFailed()
 	answer.Current = c.StoreFresh() && c.Servers.Ready()
--- a/controller/updates/changes.go
+++ b/controller/updates/changes.go
@@ -60,8 +60,8 @@
 	return p.answer()
 }
 
-// get returns the cached changes after a revision, after dropping the entries that newer changes
-// have made incomplete.
+// get returns the cached changes after a revision. When newer changes are known, it first drops
+// the entries that these make incomplete, and the partial ones older than snapshotTTL.
 func (p *changesCache) get(from, known int64) (cachedAnswer, bool) {
 	if known != p.known {
 		for from, entry := range p.byRevision {
--- a/controller/updates/evacuated_test.go
+++ b/controller/updates/evacuated_test.go
@@ -61,8 +61,8 @@
 	return late
 }
 
-// TestEvacuationReachesAllRouters evacuates and restores domains, some at the same time, while the
-// watch of one of the watchers is stalled.
+// TestEvacuationReachesAllRouters evacuates and restores domains, of which several are evacuated at
+// the same time, first without faults and then with the watch of each watcher stalled in turn.
 func TestEvacuationReachesAllRouters(t *testing.T) {
 	simulateEvacuations(t, func(f *fleet) {
 		f.setEvacuated(t, "z0", true)
--- a/controller/updates/receive.go
+++ b/controller/updates/receive.go
@@ -106,8 +106,8 @@
 	c.tryNext()
 }
 
-// noteUpdate records an update, the times up to which it completes the changes, and whether more
-// changes are to follow.
+// noteUpdate records an update, the times up to which all changes have been received with it, and
+// whether more changes are to follow.
 func (c *Controller) noteUpdate(id string, answer *peer.UpdatesAnswer, received Timestamps, moreChanges bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/updates/updates.go
+++ b/controller/updates/updates.go
@@ -23,9 +23,9 @@
 
 const (
 	// requestInterval is the interval between update requests of a router that updates others.
-	// initialRequestInterval is the interval at startup, which doubles up to requestInterval: a
-	// router serves no requests before its first update. catchUpInterval is the interval of a
-	// router that lacks updates which other routers wait for.
+	// initialRequestInterval is the first interval until the first update, which doubles up to
+	// requestInterval: a router serves no requests before its first update. catchUpInterval is the
+	// interval of a router that lacks updates which other routers wait for.
 	requestInterval        = bound.RequestInterval
 	initialRequestInterval = 50 * time.Millisecond
 	catchUpInterval        = 100 * time.Millisecond
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,5 +1,5 @@
 // Package membership holds one router's view of the other routers and ranks
-// them for controller roles. It has no side effects: callers pass the time.
+// them for controller roles. It does no I/O and reads no clock: callers pass the time.
 //
 // No safety property depends on this view. If two routers both assume that
 // they own a budget or a shard, the store's conditional updates resolve the
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -140,8 +140,8 @@
 	ReportSource string
 	VerdictSeq   int64
 	LimitSeq     int64
-	// StoreAnswered is set if the store has just answered a probe of the requesting router, and
-	// the router has not queried it for updates yet.
+	// StoreAnswered is set if the store has just answered any call of the requesting router while
+	// that router's state is stale, as it is before its first query for updates.
 	StoreAnswered bool
 }
 
@@ -184,7 +184,8 @@
 	Version int64
 	Value   []byte
 	Deleted bool
-	// Age is the time since the store returned the registration to any router.
+	// Age is the time since the store sent this copy of the registration, to the responding
+	// router or to the one from which it was relayed.
 	Age time.Duration
 }
 
