--- a/gateway/running.go
+++ b/gateway/running.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// Woke must be called after the machine was suspended. It cancels the requests whose deadline
+// Resumed must be called after the machine was suspended. It cancels the requests whose deadline
 // passed meanwhile: their timers did not run during the suspension, and servers would keep
 // working for callers that have disconnected.
-func (g *Gateway) Woke() {
+func (g *Gateway) Resumed() {
 	g.running.mu.Lock()
 	defer g.running.mu.Unlock()
 	for c, cancel := range g.running.calls {
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -45,7 +45,7 @@
 	go func() {
 		<-arrived
 		machine.Suspend(10 * requestDeadline)
-		web.Config.Handler.(*gateway.Gateway).Woke()
+		web.Config.Handler.(*gateway.Gateway).Resumed()
 	}()
 	begun := time.Now()
 	got := call(t, web, "HTTP/1.1", "GET", "/once/x")
@@ -65,7 +65,7 @@
 	})
 	go func() {
 		time.Sleep(requestDeadline / 20)
-		web.Config.Handler.(*gateway.Gateway).Woke()
+		web.Config.Handler.(*gateway.Gateway).Resumed()
 	}()
 	if got := call(t, web, "HTTP/1.1", "GET", "/once/x"); got.status != http.StatusOK {
 		t.Errorf("status %d", got.status)
--- a/router/pause_test.go
+++ b/router/pause_test.go
@@ -17,17 +17,17 @@
 	if p.paused(now) {
 		t.Fatal("reported as paused without a gap between ticks")
 	}
-	woken := now.Add(time.Minute)
-	if !p.paused(woken) {
+	resumedAt := now.Add(time.Minute)
+	if !p.paused(resumedAt) {
 		t.Fatal("accepts requests after a pause, before the first tick")
 	}
-	p.tick(context.Background(), woken)
-	if !p.paused(woken) {
+	p.tick(context.Background(), resumedAt)
+	if !p.paused(resumedAt) {
 		t.Fatal("accepts requests before the configuration is confirmed")
 	}
 	confirmed = true
-	p.tick(context.Background(), woken.Add(pauseCheckInterval))
-	if p.paused(woken.Add(pauseCheckInterval)) {
+	p.tick(context.Background(), resumedAt.Add(pauseCheckInterval))
+	if p.paused(resumedAt.Add(pauseCheckInterval)) {
 		t.Fatal("still paused after the configuration was confirmed")
 	}
 }
--- a/server/resume.go
+++ b/server/resume.go
@@ -14,5 +14,5 @@
 	for _, f := range s.followers() {
 		f.Resumed()
 	}
-	s.gateway.Woke()
+	s.gateway.Resumed()
 }
