--- a/controller/budgets/budgets_test.go
+++ b/controller/budgets/budgets_test.go
@@ -20,19 +20,19 @@
 	"github.com/gaplink/gaplink/store/memory"
 )
 
-// congestedMembers is the membership view of a router with a saturated link: it marks no router as
+// saturatedMembers is the membership view of a router with a saturated link: it marks no router as
 // failed after a failed call.
-type congestedMembers struct {
+type saturatedMembers struct {
 	budgets.Members
 	addr string
 }
 
-func (congestedMembers) Self() membership.Member         { return membership.Member{ID: "self"} }
-func (congestedMembers) First(time.Time, string) string  { return "home" }
-func (o congestedMembers) Addr(id string) (string, bool) { return o.addr, id == "home" }
-func (congestedMembers) ReportFailure(string, error)     {}
-func (congestedMembers) ReportSuccess(string)            {}
-func (congestedMembers) ReportRestart(string)            {}
+func (saturatedMembers) Self() membership.Member         { return membership.Member{ID: "self"} }
+func (saturatedMembers) First(time.Time, string) string  { return "home" }
+func (o saturatedMembers) Addr(id string) (string, bool) { return o.addr, id == "home" }
+func (saturatedMembers) ReportFailure(string, error)     {}
+func (saturatedMembers) ReportSuccess(string)            {}
+func (saturatedMembers) ReportRestart(string)            {}
 func grant(m *budget.Message)                            { m.Kind, m.Scarce = budget.Grant, true }
 
 // newController returns a controller and its client. The owner of all budgets is at addr.
@@ -41,7 +41,7 @@
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
-	return budgets.New(cfg, memory.New(), congestedMembers{addr: addr}, client, zap.NewNop(), func() {}), client
+	return budgets.New(cfg, memory.New(), saturatedMembers{addr: addr}, client, zap.NewNop(), func() {}), client
 }
 
 // makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the owner
@@ -100,11 +100,11 @@
 }
 
 // Guards against treating the owner as unresponsive when only the link to it is slow: on a
-// congested link the timeout is longer.
-func TestMessageTimeoutIsLongerOnACongestedLink(t *testing.T) {
+// saturated link the timeout is longer.
+func TestMessageTimeoutIsLongerOnASaturatedLink(t *testing.T) {
 	const takes = 500 * time.Millisecond
 	for name, c := range map[string]struct {
-		congested bool
+		saturated bool
 		arrives   bool
 	}{"idle link": {false, false}, "full link": {true, true}} {
 		t.Run(name, func(t *testing.T) {
@@ -124,12 +124,12 @@
 				t.Fatal(err)
 			}
 			go func() { _ = peer.Serve(t.Context(), l, m) }()
-			client := peer.NewClient(peer.Options{DialTimeout: time.Second, Congested: func() bool { return c.congested }})
+			client := peer.NewClient(peer.Options{DialTimeout: time.Second, LinkSaturated: func() bool { return c.saturated }})
 			defer func() { _ = client.Close() }()
 			cfg := budget.DefaultConfig()
 			cfg.Pages = 1
 			cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
-			controller := budgets.New(cfg, memory.New(), congestedMembers{addr: l.Addr().String()}, client, zap.NewNop(), func() {})
+			controller := budgets.New(cfg, memory.New(), saturatedMembers{addr: l.Addr().String()}, client, zap.NewNop(), func() {})
 			ctx, cancel := context.WithTimeout(t.Context(), 2*takes)
 			defer cancel()
 			go func() { _ = controller.Reserve(ctx, "b", 10) }()
@@ -149,7 +149,7 @@
 
 // restartRecorder records the instances reported as running a different process.
 type restartRecorder struct {
-	congestedMembers
+	saturatedMembers
 	reported chan string
 }
 
@@ -172,7 +172,7 @@
 	cfg := budget.DefaultConfig()
 	cfg.Pages = 1
 	cfg.Self = budget.Peer{ID: "self", Incarnation: "self/1"}
-	members := restartRecorder{congestedMembers{addr: l.Addr().String()}, make(chan string, 16)}
+	members := restartRecorder{saturatedMembers{addr: l.Addr().String()}, make(chan string, 16)}
 	c := budgets.New(cfg, memory.New(), members, client, zap.NewNop(), func() {})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
--- a/controller/budgets/messages.go
+++ b/controller/budgets/messages.go
@@ -10,8 +10,8 @@
 	"github.com/gaplink/gaplink/result"
 )
 
-// sendTimeout bounds the delivery of a message while this router's link is not congested. A router
-// that does not accept the message in time is skipped for a while.
+// sendTimeout bounds the delivery of a message while this router's link is not saturated.
+// A router that does not accept the message in time is skipped for a while.
 const sendTimeout = 150 * time.Millisecond
 
 // errProcessReplaced means that the message was for an earlier process of the
--- a/controller/members/members.go
+++ b/controller/members/members.go
@@ -78,7 +78,7 @@
 }
 
 // SetIgnoreFailures sets a function that reports whether failed calls must not be counted against
-// members, as while this router's own link is full. Call it before the first call is made.
+// members, as while this router's own link is saturated. Call it before the first call is made.
 func (c *Controller) SetIgnoreFailures(ignore func() bool) { c.ignoreFailures = ignore }
 
 // OnList registers a function that is called with the backend servers of each list.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -217,7 +217,7 @@
 func (a *attempt) sendFailed(ctx context.Context, f *upstream.Failure) disposition {
 	if f.Stage == upstream.NotSent {
 		serverOutcome := placement.Silent
-		if f.Full || f.Outdated || a.g.Full() || a.r.Context().Err() != nil {
+		if f.Full || f.Outdated || a.g.LinkSaturated() || a.r.Context().Err() != nil {
 			serverOutcome = placement.Neutral
 		}
 		return a.finish(notReached, "not reached", serverOutcome, f)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,19 +60,19 @@
 	Metrics *Metrics
 	// Routers returns the number of routers that share the servers.
 	Routers func() int
-	// LinkWait returns how long requests and responses queue at the router's own network link,
+	// LinkDelay returns how long requests and responses queue at the router's own network link,
 	// both directions together. Stale reports whether, given that and the staleness of the
 	// router's data, a request could reach a server too long after that server left. nil:
 	// neither is known.
-	LinkWait func() time.Duration
-	Stale    func() bool
+	LinkDelay func() time.Duration
+	Stale     func() bool
 	// ServersAge returns the staleness of the server registrations, measured from the store's
 	// response; below 0: nothing has been received. nil: unknown.
 	ServersAge func() time.Duration
-	// Away reports whether callers should use other routers for a while. Full reports whether
-	// the router's own network link is full, in which case a timeout says nothing about a
-	// server.
-	Away, Full func() bool
+	// Shedding reports whether callers should use other routers for a while. LinkSaturated reports
+	// whether the router's own network link is saturated, in which case a timeout says nothing
+	// about a server.
+	Shedding, LinkSaturated func() bool
 }
 
 // Gateway is the HTTP handler that serves callers.
@@ -114,7 +114,7 @@
 	defer g.inFlight.Add(-1)
 	c := g.newCall(w, r)
 	defer c.close()
-	if g.leaving.Load() || g.Away() || g.staleRefusal() != nil {
+	if g.leaving.Load() || g.Shedding() || g.staleRefusal() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	c.serve()
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -96,18 +96,18 @@
 	enforced := withLimits(known)
 	known.Listed(startServers(t, servers, answer), 0)
 	parts := gateway.Parts{
-		Config:   fixedConfig{newCatalog(t, attempts)},
-		Servers:  known,
-		Protocol: testProtocol{},
-		Pool:     pool,
-		Limits:   enforced,
-		Verdicts: verdicts.New(verdicts.Options{Checker: pool, Servers: known, Log: zap.NewNop()}),
-		Retries:  retry.NewBudgets(0, func() float64 { return 100 }),
-		Logs:     logs.Loggers{All: zap.NewNop(), Sampled: zap.NewNop()},
-		Metrics:  gateway.NewMetrics(prometheus.NewRegistry()),
-		Routers:  func() int { return 1 },
-		Away:     func() bool { return false },
-		Full:     func() bool { return false },
+		Config:        fixedConfig{newCatalog(t, attempts)},
+		Servers:       known,
+		Protocol:      testProtocol{},
+		Pool:          pool,
+		Limits:        enforced,
+		Verdicts:      verdicts.New(verdicts.Options{Checker: pool, Servers: known, Log: zap.NewNop()}),
+		Retries:       retry.NewBudgets(0, func() float64 { return 100 }),
+		Logs:          logs.Loggers{All: zap.NewNop(), Sampled: zap.NewNop()},
+		Metrics:       gateway.NewMetrics(prometheus.NewRegistry()),
+		Routers:       func() int { return 1 },
+		Shedding:      func() bool { return false },
+		LinkSaturated: func() bool { return false },
 	}
 	change(&parts)
 	web := httptest.NewUnstartedServer(gateway.New(parts))
--- a/gateway/link_wait_test.go
+++ b/gateway/link_delay_test.go
@@ -21,7 +21,7 @@
 // router's link, as for an account with heavy traffic whose callers all reach a router with a
 // small link. In a scenario run a read sent at 17.1 s arrived at 18.0 s and got the 504 of its
 // route's 2 s timeout at 20.0 s, although its caller counts from 17.1 s.
-func TestLinkWaitShortensTheDeadline(t *testing.T) {
+func TestLinkDelayShortensTheDeadline(t *testing.T) {
 	c, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{{
 		Name: "r", Host: "h", Prefix: "/r/", Timeout: 2 * time.Second, Split: []catalog.Share{{Service: "s", Weight: 1}},
 	}}, []*catalog.Service{{Name: "s"}}, nil)
@@ -33,7 +33,7 @@
 		900 * time.Millisecond: 1100 * time.Millisecond,
 		5 * time.Second:        time.Second,
 	} {
-		g := &Gateway{Parts: Parts{Config: fixedConfig{c}, LinkWait: func() time.Duration { return waits }}}
+		g := &Gateway{Parts: Parts{Config: fixedConfig{c}, LinkDelay: func() time.Duration { return waits }}}
 		r := httptest.NewRequest(http.MethodGet, "/r/x", nil)
 		r.Host = "h"
 		req := &call{g: g, r: r, arrived: clock.Now(), catalog: c}
@@ -47,7 +47,7 @@
 }
 
 // TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile: in a scenario run a request waited 2.3
-// s in a router with a full link and reached a server 3.6 s after that server had left. No
+// s in a router with a saturated link and reached a server 3.6 s after that server had left. No
 // byte of it was sent, so another router may take it at once.
 func TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile(t *testing.T) {
 	g := &Gateway{Parts: Parts{Stale: func() bool { return true }}}
--- a/gateway/outcome_test.go
+++ b/gateway/outcome_test.go
@@ -21,7 +21,7 @@
 		Protocol: unsigned{},
 		Logs:     logs.Loggers{All: zap.New(core), Sampled: zap.New(core)},
 		Metrics:  NewMetrics(prometheus.NewRegistry()),
-		Away:     func() bool { return false },
+		Shedding: func() bool { return false },
 	}}
 	g.steps = []step{func(*call) *result.Error { panic("x") }}
 	func() {
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -98,12 +98,12 @@
 
 // linkDelay returns the part of a request's time that is spent on the router's own link: the
 // caller's time starts before the request queues there, and the response queues there again.
-// On a full link that is up to a second, by which a response at the deadline would be late.
+// On a saturated link that is up to a second, by which a response at the deadline would be late.
 func (g *Gateway) linkDelay(timeout time.Duration) time.Duration {
-	if g.LinkWait == nil {
+	if g.LinkDelay == nil {
 		return 0
 	}
-	return min(g.LinkWait(), timeout/linkDelayDivisor)
+	return min(g.LinkDelay(), timeout/linkDelayDivisor)
 }
 
 // unknownRefusal refuses a request for something that the configuration does not contain. A
--- a/link/link.go
+++ b/link/link.go
@@ -1,6 +1,6 @@
 // Package link measures the utilization of the instance's own network link.
 //
-// A congested link delays all of a router's traffic: requests arrive late, and connections to
+// A saturated link delays all of a router's traffic: requests arrive late, and connections to
 // healthy servers time out, so that the router would take the servers for dead. The package
 // counts the bytes of the router's connections in each direction and compares them with the
 // link's capacity.
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestUnknownCapacityIsNeverCongested(t *testing.T) {
+func TestUnknownCapacityIsNeverSaturated(t *testing.T) {
 	m := link.New(0, start)
 	m.Received(1 << 30)
 	if got := m.Tick(start.Add(time.Second)); got != (link.Load{}) {
@@ -69,20 +69,20 @@
 	}
 }
 
-func TestCongestedLinkShedsCallersForAWhile(t *testing.T) {
+func TestSaturatedLinkShedsCallersForAWhile(t *testing.T) {
 	var g link.Shedder
 	g.Observe(start, link.Load{In: 0.5, Out: 0.6})
-	if g.Shedding(start) || g.Congested() {
+	if g.Shedding(start) || g.Saturated() {
 		t.Fatal("a link with spare capacity sheds callers")
 	}
 	g.Observe(start, link.Load{In: 0.1, Out: 0.95})
-	if !g.Shedding(start) || !g.Congested() {
-		t.Fatal("a link that is congested in one direction does not shed callers")
+	if !g.Shedding(start) || !g.Saturated() {
+		t.Fatal("a link that is saturated in one direction does not shed callers")
 	}
 	later := start.Add(time.Second)
 	g.Observe(later, link.Load{In: 0.2})
-	if g.Congested() {
-		t.Fatal("congested although the last window was not")
+	if g.Saturated() {
+		t.Fatal("saturated although the last window was not")
 	}
 	if !g.Shedding(later) {
 		t.Fatal("shedding ends before the load balancer has noticed")
--- a/peer/client.go
+++ b/peer/client.go
@@ -19,9 +19,9 @@
 	// outage many calls are due at once, and it is better to dial most of their peers one after
 	// the other.
 	maxConcurrentDials = 32
-	// congestedTimeout is the timeout of a call and of a dial while this process's link is
+	// saturatedTimeout is the timeout of a call and of a dial while this process's link is
 	// saturated: the data queued on the link then takes about a second to send.
-	congestedTimeout = 1500 * time.Millisecond
+	saturatedTimeout = 1500 * time.Millisecond
 )
 
 // Client calls other processes by address. It pools connections.
@@ -49,9 +49,9 @@
 	// MaxOpen bounds the open connections: half of them may be in use and half idle. 0 means no
 	// limit.
 	MaxOpen int
-	// Congested reports whether this process's own link is saturated, so that calls and dials
+	// LinkSaturated reports whether this process's own link is saturated, so that calls and dials
 	// get a longer timeout; nil means never.
-	Congested func() bool
+	LinkSaturated func() bool
 }
 
 // NewClient returns a client that keeps idle connections for reuse.
@@ -97,11 +97,11 @@
 // Calls returns the number of calls made so far.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Timeout returns the timeout of a call: normal, or at least congestedTimeout while this process's
+// Timeout returns the timeout of a call: normal, or at least saturatedTimeout while this process's
 // link is saturated.
 func (c *Client) Timeout(normal time.Duration) time.Duration {
-	if c.opts.Congested != nil && c.opts.Congested() {
-		return max(normal, congestedTimeout)
+	if c.opts.LinkSaturated != nil && c.opts.LinkSaturated() {
+		return max(normal, saturatedTimeout)
 	}
 	return normal
 }
--- a/server/link.go
+++ b/server/link.go
@@ -15,15 +15,15 @@
 // bytesPerMbit converts Mbit/s to bytes per second.
 const bytesPerMbit = 1e6 / 8
 
-// congestedDialTimeout bounds opening a connection while the router's own link is congested, when
+// saturatedDialTimeout bounds opening a connection while the router's own link is saturated, when
 // about a second of traffic is queued there.
-const congestedDialTimeout = 1500 * time.Millisecond
+const saturatedDialTimeout = 1500 * time.Millisecond
 
 // starvedWindow is the window length from which its timer counts as delayed by a lack of CPU time.
 const starvedWindow = link.Window + 150*time.Millisecond
 
-// linkState tracks whether this router is congested or busy, and whether other routers leave its
-// calls unanswered.
+// linkState tracks whether this router's link is saturated, whether it is busy, and whether other
+// routers leave its calls unanswered.
 type linkState struct {
 	mu       sync.Mutex
 	shedder  link.Shedder
@@ -46,14 +46,14 @@
 	return l.shedder.Shedding(clock.Now())
 }
 
-// Congested reports whether the link was congested in the last window.
-func (l *linkState) Congested() bool {
+// Saturated reports whether the link was saturated in the last window.
+func (l *linkState) Saturated() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shedder.Congested()
+	return l.shedder.Saturated()
 }
 
-// Busy reports whether the link is congested, CPU time or file descriptors are exhausted, or the
+// Busy reports whether the link is saturated, CPU time or file descriptors are exhausted, or the
 // process was paused just now, so that its messages are late in both directions.
 func (l *linkState) Busy() bool {
 	l.mu.Lock()
@@ -65,7 +65,7 @@
 // because a process that resumes from a pause may serve requests before its timers fire.
 func (l *linkState) busy(now time.Time) bool {
 	overdue := !l.observedAt.IsZero() && now.Sub(l.observedAt) >= starvedWindow
-	return l.shedder.Congested() || l.starved || overdue || now.Before(l.descriptorsOutUntil)
+	return l.shedder.Saturated() || l.starved || overdue || now.Before(l.descriptorsOutUntil)
 }
 
 // UnansweredSince reports whether a call to another router that began after the given time, and
@@ -128,10 +128,10 @@
 }
 
 // linkDelay returns the queueing delay of a request and its response together at the router's link.
-// It is 0 unless the link is congested: calls between routers may be slow for other reasons, which
+// It is 0 unless the link is saturated: calls between routers may be slow for other reasons, which
 // don't delay callers.
 func (s *Server) linkDelay() time.Duration {
-	if !s.link.Congested() {
+	if !s.link.Saturated() {
 		return 0
 	}
 	return s.queue.Delay(clock.Now())
--- a/server/provision.go
+++ b/server/provision.go
@@ -40,13 +40,13 @@
 	s.descriptors = &descriptors{open: s.openSockets, log: s.log}
 	s.meter = link.New(s.settings.Link.Mbps*bytesPerMbit, clock.Now())
 	s.pool = upstream.New(upstream.Options{
-		DialTimeout: s.settings.Servers.DialTimeout.Std(),
-		IdleTimeout: s.settings.Servers.IdleTimeout.Std(),
-		Meter:       s.meter,
-		Congested:   s.link.Congested,
-		MaxOpen:     s.shares.Backends,
+		DialTimeout:   s.settings.Servers.DialTimeout.Std(),
+		IdleTimeout:   s.settings.Servers.IdleTimeout.Std(),
+		Meter:         s.meter,
+		LinkSaturated: s.link.Saturated,
+		MaxOpen:       s.shares.Backends,
 
-		CongestedDialTimeout: congestedDialTimeout,
+		SaturatedDialTimeout: saturatedDialTimeout,
 	})
 	s.servers = registry.New(s.platform.DecodeServer, s.pool, newRand(), s.log)
 	s.provisionPeers()
@@ -72,20 +72,20 @@
 
 		ConfigBound: s.settings.Bounds.Apply.Std(),
 
-		Servers:  s.servers,
-		Budgets:  s.budgets,
-		Protocol: s.platform.Protocol,
-		Pool:     s.pool,
-		Verdicts: s.verdicts,
-		Limits:   s.limits,
-		Retries:  retry.NewBudgets(s.settings.Retries.Ratio*retryShare, s.retryBurst),
-		Logs:     s.logs,
-		Metrics:  gateway.NewMetrics(s.registry),
-		Routers:  s.roster.Size,
-		Away:     s.shedding,
-		Full:     s.link.Congested,
-		LinkWait: s.linkDelay,
-		Stale:    s.stale,
+		Servers:       s.servers,
+		Budgets:       s.budgets,
+		Protocol:      s.platform.Protocol,
+		Pool:          s.pool,
+		Verdicts:      s.verdicts,
+		Limits:        s.limits,
+		Retries:       retry.NewBudgets(s.settings.Retries.Ratio*retryShare, s.retryBurst),
+		Logs:          s.logs,
+		Metrics:       gateway.NewMetrics(s.registry),
+		Routers:       s.roster.Size,
+		Shedding:      s.shedding,
+		LinkSaturated: s.link.Saturated,
+		LinkDelay:     s.linkDelay,
+		Stale:         s.stale,
 
 		ServersAge: func() time.Duration { return s.updates.Ages().Servers },
 	})
@@ -181,7 +181,7 @@
 	s.peers = peer.NewClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: s.shares.PeersOut - helloSockets})
 	s.helloClient = peer.NewGreeter(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: helloSockets})
 	s.members = members.New(membership.Member{ID: self.ID, Kind: "router", Addr: self.Addr, Domain: self.Domain, State: membership.Live, LinkMbps: self.LinkMbps}, nil, 0, s.log)
-	s.members.SetIgnoreFailures(s.link.Congested)
+	s.members.SetIgnoreFailures(s.link.Saturated)
 	s.roster = roster.New(roster.Options{
 		Self:       self,
 		Seeds:      s.seeds,
--- a/server/stale.go
+++ b/server/stale.go
@@ -59,7 +59,7 @@
 
 // staleness describes a router whose data exceeds a staleness bound.
 type staleness struct {
-	// busy is set if the link is congested, CPU time or file descriptors are exhausted, or the
+	// busy is set if the link is saturated, CPU time or file descriptors are exhausted, or the
 	// process was paused just now, so that missing answers say nothing about the others.
 	busy bool
 	// unanswered is set if calls to the store and the other routers since then got no answer.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -44,16 +44,16 @@
 	MaxOpen int
 	// Meter counts the bytes of all connections; it may be nil.
 	Meter *link.Meter
-	// Congested reports whether the router's own link is saturated. The dial
-	// timeout is then CongestedDialTimeout. Congested may be nil.
-	Congested            func() bool
-	CongestedDialTimeout time.Duration
+	// LinkSaturated reports whether the router's own link is saturated. The dial
+	// timeout is then SaturatedDialTimeout. LinkSaturated may be nil.
+	LinkSaturated        func() bool
+	SaturatedDialTimeout time.Duration
 }
 
 // dialTimeout returns the current timeout for opening a connection.
 func (o *Options) dialTimeout() time.Duration {
-	if o.Congested != nil && o.Congested() {
-		return o.CongestedDialTimeout
+	if o.LinkSaturated != nil && o.LinkSaturated() {
+		return o.SaturatedDialTimeout
 	}
 	return o.DialTimeout
 }
