--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -155,7 +155,7 @@
 // maySend reports, once a connection to the server is available, whether the request should
 // still be sent on it.
 func (a *attempt) maySend() bool {
-	a.recordServersAge()
+	a.recordRegistrationAge()
 	return !a.deadlinePassed() && !callerGone(a.r) && a.g.staleRefusal() == nil && a.g.Servers.MaySend(a.server, a.permit)
 }
 
--- a/gateway/attempt_record.go
+++ b/gateway/attempt_record.go
@@ -18,9 +18,9 @@
 	server  string
 	outcome string
 	after   time.Duration
-	// serversAge is the staleness of the server registrations before the first byte was sent,
-	// measured from the store's response; below 0: unknown.
-	serversAge time.Duration
+	// registrationAge is the staleness of the server registrations before the first byte
+	// was sent, measured from the store's response; below 0: unknown.
+	registrationAge time.Duration
 	// status is 0 if no response head arrived.
 	status int
 	// framed reports that the response's own framing marks its end.
@@ -34,13 +34,13 @@
 // unknownAge marks an unknown staleness.
 const unknownAge = -1
 
-// recordServersAge records the staleness of the server registrations.
-func (a *attempt) recordServersAge() {
-	if a.g.ServersAge == nil {
+// recordRegistrationAge records the staleness of the server registrations.
+func (a *attempt) recordRegistrationAge() {
+	if a.g.RegistrationAge == nil {
 		return
 	}
-	a.record.serversAge = a.g.ServersAge()
-	a.g.Metrics.serversAge(a.record.serversAge)
+	a.record.registrationAge = a.g.RegistrationAge()
+	a.g.Metrics.registrationAge(a.record.registrationAge)
 }
 
 // setAnswer records the head of the server's response.
@@ -66,8 +66,8 @@
 func (n *attemptRecord) String() string {
 	var b strings.Builder
 	b.WriteString(n.server + " " + n.outcome + " " + n.after.Round(time.Millisecond).String())
-	if n.serversAge >= 0 {
-		b.WriteString(", servers as of " + n.serversAge.Round(time.Millisecond).String() + " before")
+	if n.registrationAge >= 0 {
+		b.WriteString(", servers as of " + n.registrationAge.Round(time.Millisecond).String() + " before")
 	}
 	if n.status == 0 {
 		return b.String()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -37,8 +37,8 @@
 	Age() time.Duration
 }
 
-// Parts are the dependencies of a gateway.
-type Parts struct {
+// Options are the dependencies of a gateway.
+type Options struct {
 	// Domain is the router's failure domain.
 	Domain string
 	// Regions maps each failure domain to its region.
@@ -66,9 +66,9 @@
 	// neither is known.
 	LinkDelay func() time.Duration
 	Stale     func() bool
-	// ServersAge returns the staleness of the server registrations, measured from the store's
+	// RegistrationAge returns the staleness of the server registrations, measured from the store's
 	// response; below 0: nothing has been received. nil: unknown.
-	ServersAge func() time.Duration
+	RegistrationAge func() time.Duration
 	// Shedding reports whether callers should use other routers for a while. LinkSaturated reports
 	// whether the router's own network link is saturated, in which case a timeout says nothing
 	// about a server.
@@ -77,28 +77,28 @@
 
 // Gateway is the HTTP handler that serves callers.
 type Gateway struct {
-	Parts
-	steps    []step
-	inFlight atomic.Int64
-	running  runningCalls
-	leaving  atomic.Bool
-	refusing atomic.Bool
+	Options
+	steps       []step
+	inFlight    atomic.Int64
+	running     runningCalls
+	draining    atomic.Bool
+	refusingNew atomic.Bool
 	// unreadableLimits rate-limits the log lines about limits that cannot be parsed.
 	unreadableLimits logs.Sparse
 }
 
-// New returns a gateway with the given parts.
-func New(p Parts) *Gateway {
-	g := &Gateway{Parts: p}
+// New returns a gateway with the given options.
+func New(o Options) *Gateway {
+	g := &Gateway{Options: o}
 	g.steps = []step{g.admit, g.findRoute, g.authenticate, g.readBody, g.checkPoison, g.readPrompt, g.reserve}
 	return g
 }
 
-// Leave starts a planned stop: responses ask callers to close their connections.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+// Drain starts a planned stop: responses ask callers to close their connections.
+func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Refuse makes the gateway refuse new requests.
-func (g *Gateway) Refuse() { g.refusing.Store(true) }
+// RefuseNew makes the gateway refuse new requests.
+func (g *Gateway) RefuseNew() { g.refusingNew.Store(true) }
 
 // InFlight returns the number of requests being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
@@ -114,7 +114,7 @@
 	defer g.inFlight.Add(-1)
 	c := g.newCall(w, r)
 	defer c.close()
-	if g.leaving.Load() || g.Shedding() || g.staleRefusal() != nil {
+	if g.draining.Load() || g.Shedding() || g.staleRefusal() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	c.serve()
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -85,17 +85,17 @@
 // newLimitedGateway returns a gateway and the server rate limits that it enforces.
 func newLimitedGateway(t *testing.T, servers, attempts int, answer script) (*httptest.Server, *limits.Controller) {
 	t.Helper()
-	return newGatewayWith(t, servers, attempts, answer, func(*gateway.Parts) {})
+	return newGatewayWith(t, servers, attempts, answer, func(*gateway.Options) {})
 }
 
-// newGatewayWith is newLimitedGateway with modified parts.
-func newGatewayWith(t *testing.T, servers, attempts int, answer script, change func(*gateway.Parts)) (*httptest.Server, *limits.Controller) {
+// newGatewayWith is newLimitedGateway with modified options.
+func newGatewayWith(t *testing.T, servers, attempts int, answer script, change func(*gateway.Options)) (*httptest.Server, *limits.Controller) {
 	t.Helper()
 	pool := upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second})
 	known := registry.New(decodeServer, pool, rand.New(rand.NewPCG(1, 2)), zap.NewNop())
 	enforced := withLimits(known)
 	known.Listed(startServers(t, servers, answer), 0)
-	parts := gateway.Parts{
+	options := gateway.Options{
 		Config:        fixedConfig{newCatalog(t, attempts)},
 		Servers:       known,
 		Protocol:      testProtocol{},
@@ -109,8 +109,8 @@
 		Shedding:      func() bool { return false },
 		LinkSaturated: func() bool { return false },
 	}
-	change(&parts)
-	web := httptest.NewUnstartedServer(gateway.New(parts))
+	change(&options)
+	web := httptest.NewUnstartedServer(gateway.New(options))
 	web.Config.ConnContext = gateway.ConnContext
 	web.Start()
 	t.Cleanup(web.CloseClientConnections)
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -45,7 +45,7 @@
 		}
 		permit, ok := c.g.Servers.Admit(ctx, server, q.Rank)
 		if ok {
-			return &attempt{call: c, server: server, permit: permit, record: attemptRecord{server: server.ID, serversAge: unknownAge}}, nil
+			return &attempt{call: c, server: server, permit: permit, record: attemptRecord{server: server.ID, registrationAge: unknownAge}}, nil
 		}
 		c.g.Servers.CancelPick(server.Incarnation(), q.Tokens)
 		if err := ctx.Err(); err != nil {
--- a/gateway/link_delay_test.go
+++ b/gateway/link_delay_test.go
@@ -33,7 +33,7 @@
 		900 * time.Millisecond: 1100 * time.Millisecond,
 		5 * time.Second:        time.Second,
 	} {
-		g := &Gateway{Parts: Parts{Config: fixedConfig{c}, LinkDelay: func() time.Duration { return waits }}}
+		g := &Gateway{Options: Options{Config: fixedConfig{c}, LinkDelay: func() time.Duration { return waits }}}
 		r := httptest.NewRequest(http.MethodGet, "/r/x", nil)
 		r.Host = "h"
 		req := &call{g: g, r: r, arrived: clock.Now(), catalog: c}
@@ -50,7 +50,7 @@
 // s in a router with a saturated link and reached a server 3.6 s after that server had left. No
 // byte of it was sent, so another router may take it at once.
 func TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile(t *testing.T) {
-	g := &Gateway{Parts: Parts{Stale: func() bool { return true }}}
+	g := &Gateway{Options: Options{Stale: func() bool { return true }}}
 	r := httptest.NewRequest(http.MethodGet, "/r/x", nil)
 	a := &attempt{call: &call{g: g, r: r, deadline: clock.Now().Add(time.Minute)}}
 	if a.maySend() {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -65,8 +65,9 @@
 	}
 }
 
-// serversAge observes the staleness of the server registrations at the time a request is sent.
-func (m *Metrics) serversAge(age time.Duration) {
+// registrationAge observes the staleness of the server registrations at the time a request
+// is sent.
+func (m *Metrics) registrationAge(age time.Duration) {
 	if age >= 0 {
 		m.ages.Observe(age.Seconds())
 	}
--- a/gateway/outcome_test.go
+++ b/gateway/outcome_test.go
@@ -17,7 +17,7 @@
 // treat it as OK, which is the zero value of result.Code.
 func TestPanicIsNotLoggedAsOK(t *testing.T) {
 	core, seen := observer.New(zap.InfoLevel)
-	g := &Gateway{Parts: Parts{
+	g := &Gateway{Options: Options{
 		Protocol: unsigned{},
 		Logs:     logs.Loggers{All: zap.New(core), Sampled: zap.New(core)},
 		Metrics:  NewMetrics(prometheus.NewRegistry()),
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -10,7 +10,7 @@
 // lists, and only in their intersection if both list some. A domain of unknown region is not
 // in any.
 func TestRequestsRunInTheirRegions(t *testing.T) {
-	g := &Gateway{Parts: Parts{Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}}
+	g := &Gateway{Options: Options{Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}}}
 	for name, c := range map[string]struct {
 		route, account []string
 		want           map[string]bool
--- a/gateway/stale_config_test.go
+++ b/gateway/stale_config_test.go
@@ -28,7 +28,7 @@
 		8 * time.Second:             result.Starting,
 		peer.UnknownAge:             result.Starting,
 	} {
-		g := &Gateway{Parts: Parts{Config: agedConfig(age), ConfigBound: within}}
+		g := &Gateway{Options: Options{Config: agedConfig(age), ConfigBound: within}}
 		if got := g.unknownRefusal(unknown); got.Code != want {
 			t.Errorf("configuration of age %v: refused with %v, want %v", age, got.Code, want)
 		}
--- a/gateway/stale_test.go
+++ b/gateway/stale_test.go
@@ -19,7 +19,7 @@
 	web, _ := newGatewayWith(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
 		arrived.Add(1)
 		send(c, head(r, 200, "Content-Length: 2", closeField), "ok")
-	}, func(p *gateway.Parts) { p.Stale = stale.Load })
+	}, func(o *gateway.Options) { o.Stale = stale.Load })
 	for _, c := range []struct {
 		stale  bool
 		status int
@@ -45,7 +45,7 @@
 	var until atomic.Int64
 	web, _ := newGatewayWith(t, 1, 1, func(c *net.TCPConn, r *http.Request, _ int) {
 		send(c, head(r, 200, "Content-Length: 2", closeField), "ok")
-	}, func(p *gateway.Parts) { p.Stale = func() bool { return time.Now().UnixNano() < until.Load() } })
+	}, func(o *gateway.Options) { o.Stale = func() bool { return time.Now().UnixNano() < until.Load() } })
 	for _, c := range []struct {
 		behind, within time.Duration
 		status         int
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -48,7 +48,7 @@
 
 // admit refuses requests while the router cannot serve any.
 func (g *Gateway) admit(c *call) *result.Error {
-	if g.refusing.Load() {
+	if g.refusingNew.Load() {
 		return result.New(result.Leaving, "the router is stopping").After(leavingRetryAfter)
 	}
 	c.catalog = g.Config.Catalog()
--- a/gateway/unobserved_test.go
+++ b/gateway/unobserved_test.go
@@ -41,7 +41,7 @@
 	defer server.Close()
 	a := &attempt{
 		call: &call{
-			g: &Gateway{Parts: Parts{
+			g: &Gateway{Options: Options{
 				Protocol: unsigned{},
 				Pool:     upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second}),
 				Servers:  registryWith("s"),
@@ -125,7 +125,7 @@
 	r := httptest.NewRequest(http.MethodGet, "/stream/x", nil)
 	return &attempt{
 		call: &call{
-			g: &Gateway{Parts: Parts{
+			g: &Gateway{Options: Options{
 				Protocol: signed{},
 				Pool:     upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second}),
 				Servers:  registryWith("s"),
--- a/gateway/watchdog_test.go
+++ b/gateway/watchdog_test.go
@@ -14,7 +14,7 @@
 // returns the attempt's context, which the watchdog cancels.
 func watchedAttempt(t *testing.T, burst float64) (context.Context, *watchdog) {
 	t.Helper()
-	return watchedAttemptOf(t, &Gateway{Parts: Parts{Retries: retry.NewBudgets(0, func() float64 { return burst })}})
+	return watchedAttemptOf(t, &Gateway{Options: Options{Retries: retry.NewBudgets(0, func() float64 { return burst })}})
 }
 
 func watchedAttemptOf(t *testing.T, g *Gateway) (context.Context, *watchdog) {
@@ -44,7 +44,7 @@
 // TestStalledStreamsAreCancelledOnlyWithinTheRetryBudget: of streams that stall together, as
 // many are cancelled as there are retries.
 func TestStalledStreamsAreCancelledOnlyWithinTheRetryBudget(t *testing.T) {
-	g := &Gateway{Parts: Parts{Retries: retry.NewBudgets(0, func() float64 { return 2 })}}
+	g := &Gateway{Options: Options{Retries: retry.NewBudgets(0, func() float64 { return 2 })}}
 	var contexts []context.Context
 	for range 6 {
 		ctx, wd := watchedAttemptOf(t, g)
@@ -99,7 +99,7 @@
 // the caller can get only what that server still sends.
 func TestUnresumableStreamIsNotCancelled(t *testing.T) {
 	a := &attempt{call: &call{
-		g:       &Gateway{Parts: Parts{Retries: retry.NewBudgets(0, func() float64 { return 10 })}},
+		g:       &Gateway{Options: Options{Retries: retry.NewBudgets(0, func() float64 { return 10 })}},
 		route:   &catalog.Route{Kind: catalog.Stream, Resume: true},
 		service: &catalog.Service{Name: "llm"},
 	}}
--- a/server/provision.go
+++ b/server/provision.go
@@ -65,7 +65,7 @@
 	})
 	s.budgets = budgets.New(s.budgetConfig(), s.store, s.members, s.peers, s.log, func() {})
 	s.configs = configs.New(s.platform.ConfigKey, s.platform.DecodeConfig, s.configChanged, s.log)
-	s.gateway = gateway.New(gateway.Parts{
+	s.gateway = gateway.New(gateway.Options{
 		Domain:  s.settings.Instance.Domain,
 		Regions: s.settings.Regions,
 		Config:  activeConfig{s.configs, s},
@@ -87,7 +87,7 @@
 		LinkDelay:     s.linkDelay,
 		Stale:         s.stale,
 
-		ServersAge: func() time.Duration { return s.updates.Ages().Servers },
+		RegistrationAge: func() time.Duration { return s.updates.Ages().Servers },
 	})
 	s.evacuations = evacuations.New(evacuations.Options{
 		Changed: s.servers.SetEvacuated,
