--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -44,9 +44,9 @@
 	Deadline time.Duration
 	// LastEvent is where a resumed stream goes on.
 	LastEvent string
-	// Ranked reports whether Priority is sent.
-	Ranked   bool
-	Priority int
+	// SendPriority reports whether Priority is sent.
+	SendPriority bool
+	Priority     int
 }
 
 // Answer holds the values of a backend server's response headers.
@@ -55,8 +55,8 @@
 	RequestID string
 	// NotRun reports that the server certainly did not run the request.
 	NotRun bool
-	// OtherServer reports that a different server answers at the address.
-	OtherServer bool
+	// WrongServer reports that a different server answers at the address.
+	WrongServer bool
 	// Signed reports that the response was produced by the server itself.
 	Signed bool
 	// Limit is the rate limit that the response announces.
@@ -65,9 +65,9 @@
 
 // Limit is the rate limit of a backend server, for the requests of all routers together.
 type Limit struct {
-	// Named reports that the response announces a limit, and PerSecond is that limit in
+	// Present reports that the response announces a limit, and PerSecond is that limit in
 	// requests per second, 0 or more.
-	Named     bool
+	Present   bool
 	PerSecond float64
 	// Err is why an announced limit could not be parsed; nil if it could, or if none is
 	// announced.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -55,8 +55,8 @@
 	return d
 }
 
-// errOtherServer marks a response from a different server at the address.
-var errOtherServer = errors.New("another server answers at the address")
+// errWrongServer marks a response from a different server at the address.
+var errWrongServer = errors.New("another server answers at the address")
 
 // errUnsigned marks a response that was not produced by the server itself.
 var errUnsigned = errors.New("the response is not signed")
@@ -77,9 +77,9 @@
 	info := a.g.Protocol.Answer(answer.StatusCode, answer.Header)
 	a.observeLimit(sent, answer, info)
 	switch {
-	case info.OtherServer:
+	case info.WrongServer:
 		a.g.Servers.Replaced(a.server.Incarnation())
-		return a.finish(notRun, "replaced", placement.Failed, errOtherServer)
+		return a.finish(notRun, "replaced", placement.Failed, errWrongServer)
 	case info.NotRun:
 		return a.finish(notRun, "refused", placement.Failed, fmt.Errorf("status %d", answer.StatusCode))
 	}
@@ -128,11 +128,11 @@
 func (a *attempt) request() *upstream.Request {
 	h := endToEndHeaders(a.r.Header)
 	d := exchange.Dispatch{
-		Server:    a.server.ID,
-		Deadline:  clock.Until(a.deadline),
-		LastEvent: a.stream.position.LastID(),
-		Ranked:    a.service.Engine != nil,
-		Priority:  a.priority(),
+		Server:       a.server.ID,
+		Deadline:     clock.Until(a.deadline),
+		LastEvent:    a.stream.position.LastID(),
+		SendPriority: a.service.Engine != nil,
+		Priority:     a.priority(),
 	}
 	if a.account != nil {
 		d.Account = a.account.Name
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -56,7 +56,7 @@
 	a := exchange.Answer{RequestID: h.Get(headerID), Signed: h.Get(headerSigned) != "", NotRun: h.Get(headerNotRun) != ""}
 	if text := h.Get(headerLimit); text != "" {
 		a.Limit.PerSecond, a.Limit.Err = strconv.ParseFloat(text, 64)
-		a.Limit.Named = a.Limit.Err == nil
+		a.Limit.Present = a.Limit.Err == nil
 	}
 	return a
 }
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -70,16 +70,16 @@
 func (a *attempt) observeLimit(sent time.Time, answer *upstream.Answer, info exchange.Answer) {
 	fromServer := info.Signed || info.NotRun || answer.StatusCode >= http.StatusMultipleChoices
 	switch {
-	case a.g.Limits == nil || info.OtherServer || !fromServer:
+	case a.g.Limits == nil || info.WrongServer || !fromServer:
 		return
 	case info.Limit.Err != nil:
 		a.g.logUnreadableLimit(a.server.ID, info.Limit.Err)
 		return
-	case !info.Limit.Named && !info.Signed:
+	case !info.Limit.Present && !info.Signed:
 		return
 	}
 	a.g.Limits.Observe(limiter.Observation{
-		Server: a.server.Incarnation(), Named: info.Limit.Named, Rate: limiter.Rate(info.Limit.PerSecond),
+		Server: a.server.Incarnation(), Named: info.Limit.Present, Rate: limiter.Rate(info.Limit.PerSecond),
 		Sent: sent, Received: clock.Now(),
 	})
 }
