--- a/engine/engine.go
+++ b/engine/engine.go
@@ -180,7 +180,7 @@
 // partial body with a Content-Length, and again at each retry of a request that runs at
 // most once.
 func (r *Response) ReadBody(ctx context.Context) ([]byte, *Failure) {
-	if !framing.Proved(r.http) {
+	if !framing.Delimited(r.http) {
 		return nil, transportFailure(ctx, errUnframed, true)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.http.Body, maxBodyBytes+1))
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -53,7 +53,7 @@
 }
 
 // Add appends data and returns the events that it completes, without those that the caller
-// already has. The error wraps ErrOrder; the batch then holds the whole events before the
+// already has. The error wraps ErrOutOfOrder; the batch then holds the whole events before the
 // failure, and Add must not be called again.
 func (s *Splitter) Add(data []byte) (Batch, error) {
 	n := copy(s.buf, s.buf[s.consumed:])
@@ -91,7 +91,7 @@
 }
 
 // End must be called at the end of the segment. It returns ErrUnfinished or an error that
-// wraps ErrOrder if the caller does not have a complete stream at that point.
+// wraps ErrOutOfOrder if the caller does not have a complete stream at that point.
 func (s *Splitter) End() error {
 	if s.consumed < len(s.buf) {
 		return ErrUnfinished
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -61,7 +61,7 @@
 // TestResumedStreamDropsKnownEvents: events that the caller already has are not forwarded
 // again.
 func TestResumedStreamDropsKnownEvents(t *testing.T) {
-	at := eventstream.After("2")
+	at := eventstream.PositionAfter("2")
 	s := eventstream.NewSplitter(&at)
 	b, err := s.Add([]byte(event(1, "\n") + event(2, "\n") + event(3, "\n")))
 	if err != nil || string(b.Bytes) != event(3, "\n") || b.Events != 1 || b.LastID != "3" {
@@ -97,7 +97,7 @@
 		if out != segment(1, want, step) {
 			t.Fatalf("got %q", out)
 		}
-		if (err == nil) != joins || err != nil && !errors.Is(err, eventstream.ErrOrder) {
+		if (err == nil) != joins || err != nil && !errors.Is(err, eventstream.ErrOutOfOrder) {
 			t.Fatalf("error %v for a segment from %d to %d after %d", err, from, to, passed)
 		}
 	})
@@ -115,7 +115,7 @@
 // TestCommentsDoNotChangeThePosition: a server may send comments at any time to keep a
 // connection open.
 func TestCommentsDoNotChangeThePosition(t *testing.T) {
-	at := eventstream.After("2")
+	at := eventstream.PositionAfter("2")
 	for _, data := range []string{": waiting\n\n" + event(3, "\n"), ": waiting\n\n" + event(4, "\n")} {
 		b, err := eventstream.NewSplitter(&at).Add([]byte(data))
 		if err != nil || string(b.Bytes) != data || b.Events != 1 {
--- a/eventstream/join_test.go
+++ b/eventstream/join_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		b, err := eventstream.NewSplitter(&at).Add([]byte(segment(k.from, 5, 1)))
-		if (err == nil) != k.joins || err != nil && !errors.Is(err, eventstream.ErrOrder) {
+		if (err == nil) != k.joins || err != nil && !errors.Is(err, eventstream.ErrOutOfOrder) {
 			t.Errorf("a segment from %d after 1: forwarded %q, error %v", k.from, b.Bytes, err)
 		}
 	}
@@ -30,7 +30,7 @@
 // earlier.
 func TestRepeatsMustReachThePosition(t *testing.T) {
 	for last, whole := range map[int]bool{3: false, 4: true, 5: true} {
-		at := eventstream.After("4")
+		at := eventstream.PositionAfter("4")
 		s := eventstream.NewSplitter(&at)
 		if _, err := s.Add([]byte(segment(1, last, 1))); err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 
 // TestRepeatedEventsAreCounted: their server generated them all the same.
 func TestRepeatedEventsAreCounted(t *testing.T) {
-	at := eventstream.After("4")
+	at := eventstream.PositionAfter("4")
 	b, err := eventstream.NewSplitter(&at).Add([]byte(segment(1, 6, 1)))
 	if err != nil || b.Events != 2 || b.Repeated != 4 {
 		t.Errorf("%d events and %d repeated, %v", b.Events, b.Repeated, err)
--- a/eventstream/position.go
+++ b/eventstream/position.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// ErrOrder marks events that cannot be shown to continue at the caller's position.
-var ErrOrder = errors.New("events do not continue at the caller's position")
+// ErrOutOfOrder marks events that cannot be shown to continue at the caller's position.
+var ErrOutOfOrder = errors.New("events do not continue at the caller's position")
 
 // Position is a caller's position in a stream, across all segments of which the stream
 // consists. The zero value is the start of a stream.
@@ -30,9 +30,9 @@
 	forwarded bool
 }
 
-// After returns the position of a caller that has received events up to lastID; an empty id is
-// the start of the stream.
-func After(lastID string) Position {
+// PositionAfter returns the position of a caller that has received events up to lastID; an empty
+// id is the start of the stream.
+func PositionAfter(lastID string) Position {
 	n, ok := parseNumber(lastID)
 	return Position{lastID: lastID, number: n, numeric: ok}
 }
@@ -78,7 +78,7 @@
 // joined it cannot be decided whether the caller already has it.
 func (p *Position) acceptWithoutID(s *segment) (action, error) {
 	if !s.continues {
-		return drop, fmt.Errorf("%w: an event without an id after %q", ErrOrder, p.lastID)
+		return drop, fmt.Errorf("%w: an event without an id after %q", ErrOutOfOrder, p.lastID)
 	}
 	p.forwarded = true
 	p.lastHasNoID = true
@@ -88,7 +88,7 @@
 // acceptOpaque handles an event when its id or the last one is not numeric.
 func (p *Position) acceptOpaque(id string, n int64, numbered bool, s *segment) (action, error) {
 	if !s.continues {
-		return drop, fmt.Errorf("%w: %q cannot be compared with %q", ErrOrder, id, p.lastID)
+		return drop, fmt.Errorf("%w: %q cannot be compared with %q", ErrOutOfOrder, id, p.lastID)
 	}
 	p.lastID, p.number, p.numeric, p.lastHasNoID = id, n, numbered, false
 	p.step, p.unevenSteps = 0, false
@@ -106,9 +106,9 @@
 		s.repeats = true
 		return drop, nil
 	case step <= 0:
-		return drop, fmt.Errorf("%w: %d after %d", ErrOrder, n, p.number)
+		return drop, fmt.Errorf("%w: %d after %d", ErrOutOfOrder, n, p.number)
 	case !s.continues && !p.repeatsLast(s) && !p.isNext(step):
-		return drop, fmt.Errorf("%w: %d after %d, with an id step of %d", ErrOrder, n, p.number, p.step)
+		return drop, fmt.Errorf("%w: %d after %d, with an id step of %d", ErrOutOfOrder, n, p.number, p.step)
 	}
 	if p.forwarded {
 		p.recordStep(step) // an id from an earlier response says nothing about the step
@@ -157,5 +157,5 @@
 	if s.forwarded || p.repeatsLast(s) || s.continues && !s.repeats {
 		return nil
 	}
-	return fmt.Errorf("%w: the segment ended without including event %d", ErrOrder, p.number)
+	return fmt.Errorf("%w: the segment ended without including event %d", ErrOutOfOrder, p.number)
 }
--- a/framing/framing.go
+++ b/framing/framing.go
@@ -3,9 +3,9 @@
 
 import "net/http"
 
-// Proved reports whether a response whose body was read to io.EOF is known to be complete: it
-// has a length, is chunked, or is of a kind without a body. Any other response ends when its
-// connection closes and may be truncated.
-func Proved(resp *http.Response) bool {
+// Delimited reports whether a response whose body was read to io.EOF is known to be
+// complete: it has a length, is chunked, or is of a kind without a body. Any other
+// response ends when its connection closes and may be truncated.
+func Delimited(resp *http.Response) bool {
 	return resp.Body == http.NoBody || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
--- a/framing/framing_test.go
+++ b/framing/framing_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := framing.Proved(resp); got != k.want {
+		if got := framing.Delimited(resp); got != k.want {
 			t.Errorf("%s: %t", k.name, got)
 		}
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -177,7 +177,7 @@
 		Request: g.Protocol.Request(r.Header),
 		outcome: result.Internal, // replaced by the actual outcome
 	}
-	c.stream.position = eventstream.After(c.LastEvent)
+	c.stream.position = eventstream.PositionAfter(c.LastEvent)
 	return c
 }
 
--- a/lab/load.go
+++ b/lab/load.go
@@ -300,7 +300,7 @@
 	if want, _ := backend.Answer(o.job.prompt(), o.job.maxTokens); !strings.HasPrefix(want, text) {
 		return s.wrong(o, text, want)
 	}
-	if err == nil && framing.Proved(resp) { // the framing marks it as complete
+	if err == nil && framing.Delimited(resp) { // the framing marks it as complete
 		o.falseEnds++
 		s.recordWrong("%s: framed as whole at %q, without an end marker", o.job.nonce, text)
 	}
--- a/lab/soak/caller.go
+++ b/lab/soak/caller.go
@@ -184,7 +184,7 @@
 	switch {
 	case err != nil:
 		return Cut
-	case !framing.Proved(resp):
+	case !framing.Delimited(resp):
 		return Unframed
 	default:
 		return Complete
--- a/lab/soak/ending.go
+++ b/lab/soak/ending.go
@@ -101,7 +101,7 @@
 // NotRun reports whether the server states that it did not run the request.
 func (e Ending) NotRun() bool { return e == Refusal || e == RefusalUnnamed }
 
-// SimplyComplete reports whether the answer is complete, is framed so that its end is proved, and
+// SimplyComplete reports whether the answer is complete, is framed so that its end is known, and
 // is followed by nothing. A router has no choice but to forward such an answer.
 func (e Ending) SimplyComplete() bool { return e == EndsByChunks || e == EndsByLength }
 
--- a/store/httpstore/httpstore.go
+++ b/store/httpstore/httpstore.go
@@ -177,7 +177,7 @@
 // bodyComplete reports whether the HTTP framing or the gzip trailer marks the end of the
 // body. A value has no end marker of its own, so a value truncated by a connection
 // close would look complete.
-func bodyComplete(resp *http.Response) bool { return framing.Proved(resp) || resp.Uncompressed }
+func bodyComplete(resp *http.Response) bool { return framing.Delimited(resp) || resp.Uncompressed }
 
 // transportError returns ErrUnavailable if the connection could not be opened, so
 // that the call was never sent, and ErrUnknown if the response is missing.
--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -123,7 +123,7 @@
 }
 
 // Framed reports whether the framing of the response proves its end.
-func (a *Answer) Framed() bool { return framing.Proved(a.resp) }
+func (a *Answer) Framed() bool { return framing.Delimited(a.resp) }
 
 // discard aborts an exchange. The connection is reset, so that a request whose
 // bytes are delayed in the network never reaches the server later.
