--- a/controller/roster/roster_test.go
+++ b/controller/roster/roster_test.go
@@ -27,7 +27,7 @@
 		Seeds:   func() []string { return []string{closedAddr} },
 		Store:   s,
 		Members: members.New(membership.Member{ID: "r", Kind: "router", Addr: addr, Domain: "z"}, nil, 0, zap.NewNop()),
-		Calls:   roster.NewPeerCalls(peer.NewGreeter(peer.Options{DialTimeout: 100 * time.Millisecond})),
+		Calls:   roster.NewPeerCalls(peer.NewUnpooledClient(peer.Options{DialTimeout: 100 * time.Millisecond})),
 		Log:     zap.NewNop(),
 	})
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -147,8 +147,8 @@
 		Host:           a.r.Host,
 		Header:         h,
 		Body:           a.body,
-		Holds:          a.maySend,
-		Belongs:        a.matchAnswer,
+		StillValid:     a.maySend,
+		Match:          a.matchAnswer,
 	}
 }
 
@@ -201,22 +201,22 @@
 
 // matchAnswer reports which request a response belongs to. A response stating that the request
 // did not run may lack the request id.
-func (a *attempt) matchAnswer(resp *http.Response) upstream.Belonging {
+func (a *attempt) matchAnswer(resp *http.Response) upstream.MatchResult {
 	info := a.g.Protocol.Answer(resp.StatusCode, resp.Header)
 	switch {
 	case info.RequestID == a.ID:
-		return upstream.Mine
+		return upstream.Matched
 	case info.RequestID == "" && info.NotRun:
-		return upstream.Unnamed
+		return upstream.MatchUnknown
 	default:
-		return upstream.Foreign
+		return upstream.MatchedOther
 	}
 }
 
 // sendFailed ends an attempt that received no response head.
 func (a *attempt) sendFailed(ctx context.Context, f *upstream.Failure) disposition {
 	if f.Stage == upstream.NotSent {
-		serverOutcome := placement.Silent
+		serverOutcome := placement.Unreachable
 		if f.Full || f.Outdated || a.g.LinkSaturated() || a.r.Context().Err() != nil {
 			serverOutcome = placement.Neutral
 		}
--- a/peer/bounds_test.go
+++ b/peer/bounds_test.go
@@ -64,7 +64,7 @@
 // Guards against calls to other routers that exceed their share of file descriptors: after a
 // pause of the process hundreds of calls are due at once, and none is answered soon.
 func TestOpenConnectionsAreBounded(t *testing.T) {
-	for name, build := range map[string]func(peer.Options) *peer.Client{"client": peer.NewClient, "greeter": peer.NewGreeter} {
+	for name, build := range map[string]func(peer.Options) *peer.Client{"client": peer.NewClient, "greeter": peer.NewUnpooledClient} {
 		t.Run(name, func(t *testing.T) {
 			const limit = 8
 			p := &blockingServer{answer: make(chan struct{})}
@@ -108,7 +108,7 @@
 func TestCallWithoutSlotIsNotSent(t *testing.T) {
 	p := &blockingServer{answer: make(chan struct{})}
 	addr := p.listen(t)
-	client := peer.NewGreeter(peer.Options{DialTimeout: time.Second, MaxOpen: 1})
+	client := peer.NewUnpooledClient(peer.Options{DialTimeout: time.Second, MaxOpen: 1})
 	defer func() { _ = client.Close() }()
 	go func() {
 		_, _ = peer.Call[message, message](t.Context(), client, addr, "wait", &message{})
--- a/peer/client.go
+++ b/peer/client.go
@@ -63,10 +63,10 @@
 	return newClient(o, half, drpcpool.Options{Expiration: idleExpiry, KeyCapacity: maxIdlePerPeer, Capacity: half})
 }
 
-// NewGreeter returns a client that keeps no idle connections. It is for calls to very
+// NewUnpooledClient returns a client that keeps no idle connections. It is for calls to very
 // many processes, most of which are called only once: an idle connection takes
 // about 20 KB on either side.
-func NewGreeter(o Options) *Client {
+func NewUnpooledClient(o Options) *Client {
 	return newClient(o, o.MaxOpen, drpcpool.Options{Capacity: -1})
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -144,14 +144,14 @@
 	}
 }
 
-// TestGreeterKeepsNoConnection checks that a greeter closes each connection after its
-// call, and that a client with a pool reuses the first connection.
-func TestGreeterKeepsNoConnection(t *testing.T) {
+// TestUnpooledClientKeepsNoConnection checks that an unpooled client closes each
+// connection after its call, and that a client with a pool reuses the first connection.
+func TestUnpooledClientKeepsNoConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		client *peer.Client
 		opened int64
 	}{
-		"greeter": {peer.NewGreeter(peer.Options{DialTimeout: time.Second}), 3},
+		"greeter": {peer.NewUnpooledClient(peer.Options{DialTimeout: time.Second}), 3},
 		"client":  {peer.NewClient(peer.Options{DialTimeout: time.Second}), 1},
 	} {
 		var calls, opened, ended atomic.Int64
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -14,8 +14,8 @@
 	Answered
 	// Failed: the server returned an error, broke off its response or timed out.
 	Failed
-	// Silent: the server was unreachable.
-	Silent
+	// Unreachable: the server was unreachable.
+	Unreachable
 )
 
 // Sent counts a request that is being sent to a server, and the prompt tokens
@@ -51,7 +51,7 @@
 		s.failureRate -= failureRateWeight * s.failureRate
 	case Failed:
 		s.failureRate += failureRateWeight * (1 - s.failureRate)
-	case Silent:
+	case Unreachable:
 		s.consecutiveUnreachable++
 		s.failureRate += failureRateWeight * (1 - s.failureRate)
 		s.ejected = s.ejected || s.consecutiveUnreachable >= ejectAfterUnreachable
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -94,7 +94,7 @@
 	f := fleet(2)
 	for i := range 2 {
 		f.Sent(incarnation("s00"), 0)
-		if down := f.RecordOutcome(incarnation("s00"), placement.Silent); down != (i == 1) {
+		if down := f.RecordOutcome(incarnation("s00"), placement.Unreachable); down != (i == 1) {
 			t.Fatalf("ejected after %d failures: %t", i+1, down)
 		}
 	}
@@ -163,7 +163,7 @@
 		"unreachable": func(f *placement.Servers) {
 			for range 2 {
 				f.Sent(first.Incarnation(), 0)
-				f.RecordOutcome(first.Incarnation(), placement.Silent)
+				f.RecordOutcome(first.Incarnation(), placement.Unreachable)
 			}
 		},
 	} {
@@ -197,7 +197,7 @@
 	f.Put(second)
 	for range 3 {
 		f.RecordPromptRead(first.Incarnation(), 70000)
-		f.RecordOutcome(first.Incarnation(), placement.Silent)
+		f.RecordOutcome(first.Incarnation(), placement.Unreachable)
 		f.RecordEventInterval(first.Incarnation(), 1)
 	}
 	f.Leave(first.Incarnation())
--- a/server/provision.go
+++ b/server/provision.go
@@ -179,7 +179,7 @@
 	}
 	helloSockets := s.shares.PeersOut / helloSocketsDivisor
 	s.peers = peer.NewClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: s.shares.PeersOut - helloSockets})
-	s.helloClient = peer.NewGreeter(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: helloSockets})
+	s.helloClient = peer.NewUnpooledClient(peer.Options{DialTimeout: peerDialTimeout, From: self.Addr, MaxOpen: helloSockets})
 	s.members = members.New(membership.Member{ID: self.ID, Kind: "router", Addr: self.Addr, Domain: self.Domain, State: membership.Live, LinkMbps: self.LinkMbps}, nil, 0, s.log)
 	s.members.SetIgnoreFailures(s.link.Saturated)
 	s.roster = roster.New(roster.Options{
--- a/server/sockets_test.go
+++ b/server/sockets_test.go
@@ -26,7 +26,7 @@
 		shares:      sockets.Shares{Callers: 40, Backends: 30, PeersIn: 20, PeersOut: 10},
 		callerLimit: callerLimit(4096, 40),
 		pool:        upstream.New(upstream.Options{}),
-		peers:       peer.NewClient(peer.Options{}), helloClient: peer.NewGreeter(peer.Options{}),
+		peers:       peer.NewClient(peer.Options{}), helloClient: peer.NewUnpooledClient(peer.Options{}),
 	}
 	s.registerSockets()
 	families, err := s.registry.Gather()
--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -20,8 +20,9 @@
 	maxSurplusBody = 1 << 20
 )
 
-// errForeign is returned if the responses on a connection do not belong to the request.
-var errForeign = errors.New("the responses on the connection belong to other requests")
+// errMatchedOther is returned if the responses on a connection do not belong to the
+// request.
+var errMatchedOther = errors.New("the responses on the connection belong to other requests")
 
 // Answer is the response of a backend server. The caller reads it to its end or calls Close.
 // The body is accessible only through Read, which distinguishes a proven end from any other.
@@ -54,19 +55,19 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		switch belongs := r.Belongs(resp); {
-		case belongs == Mine, belongs == Unnamed && a.first:
+		switch match := r.Match(resp); {
+		case match == Matched, match == MatchUnknown && a.first:
 			return resp, nil
-		case belongs == Unnamed:
-			return nil, errForeign
+		case match == MatchUnknown:
+			return nil, errMatchedOther
 		}
 		skipped++
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplusBody))
 		if err != nil || n == maxSurplusBody || resp.Close {
-			return nil, errForeign
+			return nil, errMatchedOther
 		}
 	}
-	return nil, errForeign
+	return nil, errMatchedOther
 }
 
 // ErrUnframed is returned at the end of a response that is delimited only by the server
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -23,27 +23,27 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Holds reports whether the request should still go to this server. It is called
+	// StillValid reports whether the request should still go to this server. It is called
 	// once the connection is established, before the first byte is sent: on a saturated
 	// link dialing takes seconds, and the server or the caller may have left meanwhile.
 	// nil means always.
-	Holds func() bool
-	// Belongs reports to which request a response belongs.
-	Belongs func(*http.Response) Belonging
+	StillValid func() bool
+	// Match reports to which request a response belongs.
+	Match func(*http.Response) MatchResult
 }
 
-// Belonging is the relation of a response to the request that was sent.
-type Belonging int
+// MatchResult is the relation of a response to the request that was sent.
+type MatchResult int
 
 const (
-	// Foreign: the response names another request; it is skipped.
-	Foreign Belonging = iota
-	// Mine: the response names this request.
-	Mine
-	// Unnamed: the response names no request but is otherwise acceptable. It is
+	// MatchedOther: the response names another request; it is skipped.
+	MatchedOther MatchResult = iota
+	// Matched: the response names this request.
+	Matched
+	// MatchUnknown: the response names no request but is otherwise acceptable. It is
 	// accepted if the connection has carried no other request; otherwise the exchange
 	// fails, because the responses after it cannot be matched either.
-	Unnamed
+	MatchUnknown
 )
 
 // Stage is the progress of a failed request.
@@ -62,7 +62,8 @@
 	Stage Stage
 	// Full is set if a connection limit was reached and no connection was idle.
 	Full bool
-	// Outdated is set if Holds reported that the request should no longer go to this server.
+	// Outdated is set if StillValid reported that the request should no longer go to this
+	// server.
 	Outdated bool
 	Err      error
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, &Failure{Stage: NotSent, Full: errors.Is(err, errFull), Err: err}
 	}
-	if r.Holds != nil && !r.Holds() {
+	if r.StillValid != nil && !r.StillValid() {
 		p.drop(c)
 		return nil, &Failure{Stage: NotSent, Outdated: true, Err: errOutdated}
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -31,11 +31,11 @@
 func get(addr, id string) *upstream.Request {
 	return &upstream.Request{
 		Address: addr, Owner: placement.Incarnation{ID: "s"}, Method: http.MethodGet, Target: "/" + id, Host: "h", Header: http.Header{"Request-Id": {id}},
-		Belongs: func(r *http.Response) upstream.Belonging {
+		Match: func(r *http.Response) upstream.MatchResult {
 			if r.Header.Get("Request-Id") == id {
-				return upstream.Mine
+				return upstream.Matched
 			}
-			return upstream.Foreign
+			return upstream.MatchedOther
 		},
 	}
 }
@@ -281,7 +281,7 @@
 	})
 	p := newPool()
 	req := get(addr, "a")
-	req.Holds = func() bool { return false }
+	req.StillValid = func() bool { return false }
 	_, failure := p.Send(context.Background(), req)
 	if failure == nil || failure.Stage != upstream.NotSent || !failure.Outdated {
 		t.Fatalf("want a request that was not sent, got %+v", failure)
