--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -23,10 +23,10 @@
 	Stream
 )
 
-// Share is a service of a route and its share of the route's traffic.
-type Share struct {
+// WeightedService is a service of a route and its share of the route's traffic.
+type WeightedService struct {
 	Service string
-	// Weight is relative to the other shares of the route.
+	// Weight is relative to the other services of the route.
 	Weight int
 }
 
@@ -39,14 +39,14 @@
 	Kind   Kind
 	// Timeout is the maximum time that a request may be held.
 	Timeout time.Duration
-	// Objective is the latency objective (SLO) for a response, or for the first event
-	// of a stream.
-	Objective time.Duration
-	// Pause is the latency objective between two events of a stream.
-	Pause time.Duration
+	// LatencyObjective is the latency objective (SLO) for a response, or for the first
+	// event of a stream.
+	LatencyObjective time.Duration
+	// EventObjective is the latency objective between two events of a stream.
+	EventObjective time.Duration
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
-	Split    []Share
+	Split    []WeightedService
 	// Attempts is the maximum number of backend servers that one request may be sent
 	// to.
 	Attempts int
@@ -98,8 +98,8 @@
 	Priority int
 	// Budget is the prepaid number of input and output tokens.
 	Budget int64
-	// Metered reports that the account has a budget.
-	Metered bool
+	// HasBudget reports that the account has a budget.
+	HasBudget bool
 	// Regions lists the regions whose servers may run the requests; if empty, all may.
 	Regions []string
 }
@@ -152,9 +152,9 @@
 		if len(r.Split) == 0 {
 			return fmt.Errorf("catalog: route %s has no service", r.Name)
 		}
-		for _, share := range r.Split {
-			if c.Services[share.Service] == nil {
-				return fmt.Errorf("catalog: route %s has unknown service %s", r.Name, share.Service)
+		for _, service := range r.Split {
+			if c.Services[service.Service] == nil {
+				return fmt.Errorf("catalog: route %s has unknown service %s", r.Name, service.Service)
 			}
 		}
 		host := strings.ToLower(r.Host)
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 func newCatalog(t *testing.T, routes ...*catalog.Route) *catalog.Catalog {
 	t.Helper()
 	for _, r := range routes {
-		r.Split = []catalog.Share{{Service: "svc", Weight: 1}}
+		r.Split = []catalog.WeightedService{{Service: "svc", Weight: 1}}
 	}
 	c, err := catalog.New(1, catalog.Limits{}, routes, []*catalog.Service{{Name: "svc"}}, []*catalog.Account{{Name: "acme", Keys: []string{"k1", "k2"}}})
 	if err != nil {
@@ -42,7 +42,7 @@
 }
 
 func TestRouteToUnknownServiceIsRefused(t *testing.T) {
-	r := &catalog.Route{Name: "r", Split: []catalog.Share{{Service: "nowhere"}}}
+	r := &catalog.Route{Name: "r", Split: []catalog.WeightedService{{Service: "nowhere"}}}
 	if _, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{r}, nil, nil); err == nil {
 		t.Fatal("New accepted a route to an unknown service")
 	}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -135,11 +135,11 @@
 	route := func(name string, kind catalog.Kind, resume bool) *catalog.Route {
 		return &catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Resume: resume, Timeout: requestDeadline,
-			Split: []catalog.Share{{Service: "svc", Weight: 1}}, Attempts: attempts, Public: true,
+			Split: []catalog.WeightedService{{Service: "svc", Weight: 1}}, Attempts: attempts, Public: true,
 		}
 	}
 	hasty := route("hasty", catalog.Repeatable, false)
-	hasty.Objective = hastyObjective
+	hasty.LatencyObjective = hastyObjective
 	c, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{
 		route("stream", catalog.Stream, true), route("once-stream", catalog.Stream, false),
 		route("safe", catalog.Repeatable, false), route("once", catalog.Once, false), hasty,
--- a/gateway/link_delay_test.go
+++ b/gateway/link_delay_test.go
@@ -23,7 +23,7 @@
 // route's 2 s timeout at 20.0 s, although its caller counts from 17.1 s.
 func TestLinkDelayShortensTheDeadline(t *testing.T) {
 	c, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{{
-		Name: "r", Host: "h", Prefix: "/r/", Timeout: 2 * time.Second, Split: []catalog.Share{{Service: "s", Weight: 1}},
+		Name: "r", Host: "h", Prefix: "/r/", Timeout: 2 * time.Second, Split: []catalog.WeightedService{{Service: "s", Weight: 1}},
 	}}, []*catalog.Service{{Name: "s"}}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -176,10 +176,10 @@
 
 // reserve reserves the maximum cost of the request from its account's budget.
 func (g *Gateway) reserve(c *call) *result.Error {
-	if c.account == nil || !c.account.Metered || c.MaxTokens() == 0 {
+	if c.account == nil || !c.account.HasBudget || c.MaxTokens() == 0 {
 		return nil
 	}
-	wait := max(c.route.Objective/reserveWaitDivisor, minReserveWait)
+	wait := max(c.route.LatencyObjective/reserveWaitDivisor, minReserveWait)
 	ctx, cancel := context.WithTimeout(c.r.Context(), wait)
 	defer cancel()
 	if err := g.Budgets.Reserve(ctx, c.account.Name, c.MaxTokens()); err != nil {
@@ -209,7 +209,7 @@
 	c.service = c.catalog.Services[c.pickWeighted(c.route.Split).Service]
 }
 
-func (c *call) pickWeighted(split []catalog.Share) catalog.Share {
+func (c *call) pickWeighted(split []catalog.WeightedService) catalog.WeightedService {
 	total := 0
 	for _, s := range split {
 		total += max(s.Weight, 0)
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -22,8 +22,9 @@
 	// the prompt again, which costs that server's time and is late anyway, so only a server
 	// that seems to have failed is abandoned: most late first events are due to large prompts.
 	streamSilenceTimeoutShare = 2.0
-	// pauseTimeoutFactor multiplies the route's latency objective between two events (Pause); a
-	// stream that pauses longer is resumed at another server if a retry can be reserved.
+	// pauseTimeoutFactor multiplies the route's latency objective between two events
+	// (EventObjective); a stream that pauses longer is resumed at another server if a retry can be
+	// reserved.
 	pauseTimeoutFactor = 3
 	// minPauseTimeout is the lower bound on that pause timeout.
 	minPauseTimeout = 600 * time.Millisecond
@@ -47,16 +48,16 @@
 
 // startWatchdog starts the watchdog of an attempt that may be followed by another.
 func (a *attempt) startWatchdog(cancel context.CancelCauseFunc) *watchdog {
-	if a.isLast || !a.route.MayRepeat() || a.route.Objective == 0 {
+	if a.isLast || !a.route.MayRepeat() || a.route.LatencyObjective == 0 {
 		return &watchdog{}
 	}
 	share := silenceTimeoutShare
 	if a.route.Kind == catalog.Stream {
 		share = streamSilenceTimeoutShare
 	}
-	first := time.Duration(share * float64(a.route.Objective))
+	first := time.Duration(share * float64(a.route.LatencyObjective))
 	w := &watchdog{
-		pauseTimeout: max(pauseTimeoutFactor*a.route.Pause, minPauseTimeout),
+		pauseTimeout: max(pauseTimeoutFactor*a.route.EventObjective, minPauseTimeout),
 		reserveRetry: a.reserveRetry,
 		cancel:       cancel,
 	}
--- a/gateway/watchdog_test.go
+++ b/gateway/watchdog_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	a := &attempt{call: &call{
 		g:       g,
-		route:   &catalog.Route{Kind: catalog.Stream, Resume: true, Objective: 5 * time.Millisecond},
+		route:   &catalog.Route{Kind: catalog.Stream, Resume: true, LatencyObjective: 5 * time.Millisecond},
 		service: &catalog.Service{Name: "llm"},
 	}}
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/server/provision.go
+++ b/server/provision.go
@@ -115,7 +115,7 @@
 		AsOf:            s.storeAsOf,
 		StaleAfter:      s.staleAfter,
 		RequestInterval: s.updateInterval,
-		Answered:        s.store.Answered,
+		Answered:        s.store.LastResponse,
 		OnFailure:       s.peerCallFailed,
 		Timeout:         s.peers.Timeout,
 
--- a/server/server.go
+++ b/server/server.go
@@ -297,7 +297,7 @@
 func (s *Server) configChanged(c *catalog.Catalog) {
 	limits := map[string]budget.Limit{}
 	for _, a := range c.Accounts {
-		if a.Metered {
+		if a.HasBudget {
 			limits[a.Name] = budget.Limit{Account: a.Name, Tokens: a.Budget, Version: c.Version}
 		}
 	}
--- a/store/counting.go
+++ b/store/counting.go
@@ -80,9 +80,9 @@
 	c.byPurpose[Purpose{Kind: kind, Call: call}]++
 }
 
-// Answered returns the time of the last response to any call, or the zero time if
+// LastResponse returns the time of the last response to any call, or the zero time if
 // there was none.
-func (c *Counting) Answered() time.Time {
+func (c *Counting) LastResponse() time.Time {
 	if t := c.lastResponse.Load(); t != nil {
 		return *t
 	}
