--- a/changelog/changelog.go
+++ b/changelog/changelog.go
@@ -20,8 +20,8 @@
 	Age time.Duration
 }
 
-// Fresh returns objects that the store has just sent, with an age of 0.
-func Fresh(objects []store.Object) []Received {
+// JustReceived returns objects that the store has just sent, with an age of 0.
+func JustReceived(objects []store.Object) []Received {
 	list := make([]Received, 0, len(objects))
 	for _, o := range objects {
 		list = append(list, Received{Object: o})
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Known reports whether the kernel's clocks show how long the machine was suspended.
-func Known() bool { return kernel.known }
+// SuspensionsKnown reports whether the kernel's clocks show how long the machine was suspended.
+func SuspensionsKnown() bool { return kernel.known }
 
 // clockDifference returns the lead of CLOCK_BOOTTIME, which counts suspended time, over
 // CLOCK_MONOTONIC. If the thread is preempted between the readings the result would be too large,
--- a/controller/budgets/budgets.go
+++ b/controller/budgets/budgets.go
@@ -105,7 +105,7 @@
 	for {
 		select {
 		case <-timer.C:
-			wakeups.Note(wakeups.Budgets)
+			wakeups.Count(wakeups.Budgets)
 			c.withAgent(func(now time.Time, a *budget.Agent) []budget.Effect { return a.Tick(now) })
 		case <-c.wake:
 		case <-ctx.Done():
--- a/controller/follow/follow.go
+++ b/controller/follow/follow.go
@@ -136,7 +136,7 @@
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wakeups.Note(wakeups.Follow)
+		wakeups.Count(wakeups.Follow)
 		changed := f.roleChanged()
 		role := f.Role()
 		if role == Idle {
--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -99,7 +99,7 @@
 	// unanswered holds, by id, until when a router that did not answer is not asked again.
 	unanswered map[string]time.Time
 	counts     Counts
-	changeLog  logs.Sparse
+	changeLog  logs.RateLimit
 }
 
 // New returns a controller without limits.
@@ -229,7 +229,7 @@
 // logChange logs a changed rate at most once per changeLogInterval: a server may name a
 // different rate in each answer.
 func (c *Controller) logChange(fields []zap.Field) {
-	if leftOut, due := c.changeLog.Due(clock.Now(), changeLogInterval); due {
+	if leftOut, allowed := c.changeLog.Allow(clock.Now(), changeLogInterval); allowed {
 		c.Log.Info("server rate limit changes", append(fields, zap.Int64("lines_left_out", leftOut))...)
 	}
 }
--- a/controller/members/members.go
+++ b/controller/members/members.go
@@ -33,7 +33,7 @@
 	firstByRole  map[string]cachedMember  // cached results of First, by role
 	ownersByRole map[string]cachedMembers // cached results of Owners, by role
 	live         cachedCount
-	failureLogs  map[string]*logs.Sparse // rate limits of the log lines about suspected routers
+	failureLogs  map[string]*logs.RateLimit // rate limits of the log lines about suspected routers
 	// ignoreFailures reports whether failed calls must not be counted against members.
 	ignoreFailures func() bool
 }
@@ -71,7 +71,7 @@
 		view:         membership.NewView(self),
 		firstByRole:  map[string]cachedMember{},
 		ownersByRole: map[string]cachedMembers{},
-		failureLogs:  map[string]*logs.Sparse{},
+		failureLogs:  map[string]*logs.RateLimit{},
 
 		ignoreFailures: func() bool { return false },
 	}
@@ -340,12 +340,12 @@
 	known := c.view.Suspected(now, id)
 	c.view.ReportFailure(now, id)
 	c.dropCaches()
-	leftOut, due := int64(0), false
+	leftOut, allowed := int64(0), false
 	if !known {
-		leftOut, due = c.failureLog(id).Due(now, failureLogInterval)
+		leftOut, allowed = c.failureLog(id).Allow(now, failureLogInterval)
 	}
 	c.mu.Unlock()
-	if due {
+	if allowed {
 		c.log.Info("router passed over", zap.String("router", id), zap.Int64("left_out", leftOut), zap.Error(cause))
 	}
 }
@@ -355,9 +355,9 @@
 const failureLogInterval = 2 * time.Second
 
 // failureLog returns the rate limit of log lines about a router. The caller holds the lock.
-func (c *Controller) failureLog(id string) *logs.Sparse {
+func (c *Controller) failureLog(id string) *logs.RateLimit {
 	if c.failureLogs[id] == nil {
-		c.failureLogs[id] = &logs.Sparse{}
+		c.failureLogs[id] = &logs.RateLimit{}
 	}
 	return c.failureLogs[id]
 }
--- a/controller/registry/registry.go
+++ b/controller/registry/registry.go
@@ -100,7 +100,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			wakeups.Note(wakeups.Beat)
+			wakeups.Count(wakeups.Tick)
 			c.Tick(ctx, clock.Now())
 		case <-ctx.Done():
 			return
@@ -179,7 +179,7 @@
 // Listed implements follow.Handler. Entries newer than the list's revision stay
 // unchanged, since a list from another router may be older than the local state.
 func (c *Controller) Listed(objects []store.Object, revision int64) {
-	c.ApplyList(changelog.Fresh(objects), revision)
+	c.ApplyList(changelog.JustReceived(objects), revision)
 }
 
 // ApplyList applies a list of all registrations from another router.
@@ -239,7 +239,7 @@
 }
 
 // Changed implements follow.Handler.
-func (c *Controller) Changed(objects []store.Object) { c.ApplyChanges(changelog.Fresh(objects)) }
+func (c *Controller) Changed(objects []store.Object) { c.ApplyChanges(changelog.JustReceived(objects)) }
 
 // ApplyUpdate applies all changes up to a revision from another router.
 func (c *Controller) ApplyUpdate(objects []changelog.Received, revision int64) {
--- a/controller/registry/unreadable.go
+++ b/controller/registry/unreadable.go
@@ -16,15 +16,15 @@
 // unreadable counts the registrations that could not be decoded.
 type unreadable struct {
 	count int64
-	lines logs.Sparse
+	lines logs.RateLimit
 }
 
 // record counts a version of a registration and logs it, unless a line was written
 // within unreadableLogInterval.
 func (u *unreadable) record(log *zap.Logger, now time.Time, o store.Object, cause error) {
 	u.count++
-	leftOut, due := u.lines.Due(now, unreadableLogInterval)
-	if !due {
+	leftOut, allowed := u.lines.Allow(now, unreadableLogInterval)
+	if !allowed {
 		return
 	}
 	log.Error("cannot decode server registration; the server is not used", zap.String("key", o.Key), zap.Int64("version", o.Version),
--- a/controller/roster/replica.go
+++ b/controller/roster/replica.go
@@ -68,11 +68,11 @@
 
 // Listed implements follow.Handler.
 func (c *Controller) Listed(objects []store.Object, revision int64) {
-	c.ApplyList(changelog.Fresh(objects), revision)
+	c.ApplyList(changelog.JustReceived(objects), revision)
 }
 
 // Changed implements follow.Handler.
-func (c *Controller) Changed(objects []store.Object) { c.applyChanges(changelog.Fresh(objects)) }
+func (c *Controller) Changed(objects []store.Object) { c.applyChanges(changelog.JustReceived(objects)) }
 
 // Advanced implements follow.Handler.
 func (c *Controller) Advanced(revision int64) {
--- a/controller/updates/ask.go
+++ b/controller/updates/ask.go
@@ -16,7 +16,7 @@
 func (c *Controller) Run(ctx context.Context) {
 	go c.checkRoles(ctx)
 	for ctx.Err() == nil {
-		wakeups.Note(wakeups.Updates)
+		wakeups.Count(wakeups.Updates)
 		if c.StoreCallFailed() || c.Large() {
 			c.startRequest(ctx)
 		}
--- a/controller/updates/rolewatch.go
+++ b/controller/updates/rolewatch.go
@@ -49,7 +49,7 @@
 // checkRoles checks the role periodically and notifies waiting callers until the context ends.
 func (c *Controller) checkRoles(ctx context.Context) {
 	for ctx.Err() == nil {
-		wakeups.Note(wakeups.Role)
+		wakeups.Count(wakeups.Role)
 		role := c.Role()
 		if role != follow.Idle {
 			c.notifyRole() // at each check: a waiting caller may have seen Idle since the last one
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,7 +84,7 @@
 	draining    atomic.Bool
 	refusingNew atomic.Bool
 	// unreadableLimits rate-limits the log lines about limits that cannot be parsed.
-	unreadableLimits logs.Sparse
+	unreadableLimits logs.RateLimit
 }
 
 // New returns a gateway with the given options.
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -87,7 +87,7 @@
 // logUnreadableLimit logs a limit that could not be parsed, at most once per
 // unreadableLogInterval.
 func (g *Gateway) logUnreadableLimit(server string, cause error) {
-	if omitted, due := g.unreadableLimits.Due(clock.Now(), unreadableLogInterval); due {
+	if omitted, allowed := g.unreadableLimits.Allow(clock.Now(), unreadableLogInterval); allowed {
 		g.Logs.All.Warn("cannot parse server rate limit; ignoring it", zap.String("server", server),
 			zap.Int64("lines_left_out", omitted), zap.Error(cause))
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -239,7 +239,7 @@
 	go r.health.Run(ctx)
 	go r.reclaims.Run(ctx)
 	go r.pauseDetector.run(ctx)
-	if !clock.Known() {
+	if !clock.SuspensionsKnown() {
 		r.log.Warn("the kernel does not report suspend time; computed ages exclude time spent suspended")
 	}
 	go func() { _ = peer.Serve(ctx, r.peerListener, r.peerMux()) }()
--- a/server/server.go
+++ b/server/server.go
@@ -344,7 +344,7 @@
 	go s.roster.Run(ctx)
 	go s.followStore(ctx)
 	go s.budgets.Run(ctx)
-	if !clock.Known() {
+	if !clock.SuspensionsKnown() {
 		s.log.Warn("kernel does not report suspend time; ages exclude it")
 	}
 	go s.runTicks(ctx)
--- a/server/sockets.go
+++ b/server/sockets.go
@@ -75,7 +75,7 @@
 type descriptors struct {
 	open  func() openSockets
 	log   *zap.Logger
-	lines logs.Sparse
+	lines logs.RateLimit
 }
 
 // handleError logs an error of opening or accepting a connection if no file descriptor was left.
@@ -83,8 +83,8 @@
 	if !errors.Is(err, syscall.EMFILE) {
 		return
 	}
-	suppressed, due := d.lines.Due(clock.Now(), socketLogInterval)
-	if !due {
+	suppressed, allowed := d.lines.Allow(clock.Now(), socketLogInterval)
+	if !allowed {
 		return
 	}
 	o := d.open()
--- a/server/ticks.go
+++ b/server/ticks.go
@@ -26,7 +26,7 @@
 		case <-ctx.Done():
 			return
 		}
-		wakeups.Note(wakeups.Beat)
+		wakeups.Count(wakeups.Tick)
 		now := clock.Now()
 		if suspended := suspensions.Since(); suspended > 0 {
 			s.handleResume(suspended)
--- a/wakeups/wakeups.go
+++ b/wakeups/wakeups.go
@@ -9,8 +9,8 @@
 
 // Purposes of timers.
 const (
-	// Beat is for the periodic checks of the link, of pauses, and of ejected and missing servers.
-	Beat Purpose = iota
+	// Tick is for the periodic checks of the link, of pauses, and of ejected and missing servers.
+	Tick Purpose = iota
 	// Budgets is for the budget agent.
 	Budgets
 	// Updates is for requests for updates.
@@ -23,15 +23,15 @@
 	purposes
 )
 
-var names = [purposes]string{Beat: "beat", Budgets: "budgets", Updates: "updates", Role: "role", Follow: "follow"}
+var names = [purposes]string{Tick: "beat", Budgets: "budgets", Updates: "updates", Role: "role", Follow: "follow"}
 
 // String implements fmt.Stringer.
 func (p Purpose) String() string { return names[p] }
 
 var counts [purposes]atomic.Int64
 
-// Note counts a wake-up for purpose p.
-func Note(p Purpose) { counts[p].Add(1) }
+// Count counts a wake-up for purpose p.
+func Count(p Purpose) { counts[p].Add(1) }
 
 // Counts returns the number of wake-ups since the start of the process, by purpose.
 func Counts() map[Purpose]int64 {
