--- a/router/router.go
+++ b/router/router.go
@@ -240,7 +240,7 @@
 	go r.reclaims.Run(ctx)
 	go r.pauseDetector.run(ctx)
 	if !clock.SuspensionsKnown() {
-		r.log.Warn("the kernel does not report suspend time; computed ages exclude time spent suspended")
+		r.log.Warn("kernel does not report suspend time; ages exclude it")
 	}
 	go func() { _ = peer.Serve(ctx, r.peerListener, r.peerMux()) }()
 	return r.serveCallers()
