--- a/gateway/link_delay_test.go
+++ b/gateway/link_delay_test.go
@@ -17,7 +17,7 @@
 func (s fixedConfig) Catalog() *catalog.Catalog { return s.c }
 func (s fixedConfig) Age() time.Duration        { return 0 }
 
-// TestLinkWaitShortensTheDeadline guards against deadlines that ignore queueing at the
+// TestLinkDelayShortensTheDeadline guards against deadlines that ignore queueing at the
 // router's link, as for an account with heavy traffic whose callers all reach a router with a
 // small link. In a scenario run a read sent at 17.1 s arrived at 18.0 s and got the 504 of its
 // route's 2 s timeout at 20.0 s, although its caller counts from 17.1 s.
