--- a/server/cold.go
+++ b/server/cold.go
@@ -17,15 +17,15 @@
 // which permits its predecessor granted.
 const rosterSettleTime = 4 * time.Second
 
-// rosterSettled reports whether this process has run long enough to know the other routers.
-func (s *Server) rosterSettled() bool { return clock.Since(s.startedAt) >= rosterSettleTime }
+// knowsFleet reports whether this process has run long enough to know the other routers.
+func (s *Server) knowsFleet() bool { return clock.Since(s.startedAt) >= rosterSettleTime }
 
 // newLimits returns the controller that enforces the rate limits of backend servers.
 func (s *Server) newLimits() *limits.Controller {
 	return limits.New(limits.Options{
 		Self:         s.settings.Instance.ID,
 		Fleet:        limits.PeerFleet{Recipients: s.recipients(), Client: s.peers},
-		KnowsFleet:   s.rosterSettled,
+		KnowsFleet:   s.knowsFleet,
 		IsRegistered: s.servers.AcceptsRequests,
 		Updated:      s.updatedByRelays,
 		Log:          s.log,
