--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -55,8 +55,8 @@
 	return d
 }
 
-// errOtherServer marks a response from a different server at the address.
-var errOtherServer = errors.New("another server answers at the address")
+// errWrongServer marks a response from a different server at the address.
+var errWrongServer = errors.New("another server answers at the address")
 
 // errUnsigned marks a response that was not produced by the server itself.
 var errUnsigned = errors.New("the response is not signed")
@@ -77,9 +77,9 @@
 	info := a.g.Protocol.Answer(answer.StatusCode, answer.Header)
 	a.observeLimit(sent, answer, info)
 	switch {
-	case info.OtherServer:
+	case info.WrongServer:
 		a.g.Servers.Replaced(a.server.Incarnation())
-		return a.finish(notRun, "replaced", placement.Failed, errOtherServer)
+		return a.finish(notRun, "replaced", placement.Failed, errWrongServer)
 	case info.NotRun:
 		return a.finish(notRun, "refused", placement.Failed, fmt.Errorf("status %d", answer.StatusCode))
 	}
@@ -128,11 +128,11 @@
 func (a *attempt) request() *upstream.Request {
 	h := endToEndHeaders(a.r.Header)
 	d := exchange.Dispatch{
-		Server:    a.server.ID,
-		Deadline:  clock.Until(a.deadline),
-		LastEvent: a.stream.position.LastID(),
-		Ranked:    a.service.Engine != nil,
-		Priority:  a.priority(),
+		Server:       a.server.ID,
+		Deadline:     clock.Until(a.deadline),
+		LastEvent:    a.stream.position.LastID(),
+		SendPriority: a.service.Engine != nil,
+		Priority:     a.priority(),
 	}
 	if a.account != nil {
 		d.Account = a.account.Name
@@ -147,15 +147,15 @@
 		Host:           a.r.Host,
 		Header:         h,
 		Body:           a.body,
-		Holds:          a.maySend,
-		Belongs:        a.matchAnswer,
+		StillValid:     a.maySend,
+		Match:          a.matchAnswer,
 	}
 }
 
 // maySend reports, once a connection to the server is available, whether the request should
 // still be sent on it.
 func (a *attempt) maySend() bool {
-	a.recordServersAge()
+	a.recordRegistrationAge()
 	return !a.deadlinePassed() && !callerGone(a.r) && a.g.staleRefusal() == nil && a.g.Servers.MaySend(a.server, a.permit)
 }
 
@@ -201,23 +201,23 @@
 
 // matchAnswer reports which request a response belongs to. A response stating that the request
 // did not run may lack the request id.
-func (a *attempt) matchAnswer(resp *http.Response) upstream.Belonging {
+func (a *attempt) matchAnswer(resp *http.Response) upstream.MatchResult {
 	info := a.g.Protocol.Answer(resp.StatusCode, resp.Header)
 	switch {
 	case info.RequestID == a.ID:
-		return upstream.Mine
+		return upstream.Matched
 	case info.RequestID == "" && info.NotRun:
-		return upstream.Unnamed
+		return upstream.MatchUnknown
 	default:
-		return upstream.Foreign
+		return upstream.MatchedOther
 	}
 }
 
 // sendFailed ends an attempt that received no response head.
 func (a *attempt) sendFailed(ctx context.Context, f *upstream.Failure) disposition {
 	if f.Stage == upstream.NotSent {
-		serverOutcome := placement.Silent
-		if f.Full || f.Outdated || a.g.Full() || a.r.Context().Err() != nil {
+		serverOutcome := placement.Unreachable
+		if f.Full || f.Outdated || a.g.LinkSaturated() || a.r.Context().Err() != nil {
 			serverOutcome = placement.Neutral
 		}
 		return a.finish(notReached, "not reached", serverOutcome, f)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -37,8 +37,8 @@
 	Age() time.Duration
 }
 
-// Parts are the dependencies of a gateway.
-type Parts struct {
+// Options are the dependencies of a gateway.
+type Options struct {
 	// Domain is the router's failure domain.
 	Domain string
 	// Regions maps each failure domain to its region.
@@ -60,45 +60,45 @@
 	Metrics *Metrics
 	// Routers returns the number of routers that share the servers.
 	Routers func() int
-	// LinkWait returns how long requests and responses queue at the router's own network link,
+	// LinkDelay returns how long requests and responses queue at the router's own network link,
 	// both directions together. Stale reports whether, given that and the staleness of the
 	// router's data, a request could reach a server too long after that server left. nil:
 	// neither is known.
-	LinkWait func() time.Duration
-	Stale    func() bool
-	// ServersAge returns the staleness of the server registrations, measured from the store's
+	LinkDelay func() time.Duration
+	Stale     func() bool
+	// RegistrationAge returns the staleness of the server registrations, measured from the store's
 	// response; below 0: nothing has been received. nil: unknown.
-	ServersAge func() time.Duration
-	// Away reports whether callers should use other routers for a while. Full reports whether
-	// the router's own network link is full, in which case a timeout says nothing about a
-	// server.
-	Away, Full func() bool
+	RegistrationAge func() time.Duration
+	// Shedding reports whether callers should use other routers for a while. LinkSaturated reports
+	// whether the router's own network link is saturated, in which case a timeout says nothing
+	// about a server.
+	Shedding, LinkSaturated func() bool
 }
 
 // Gateway is the HTTP handler that serves callers.
 type Gateway struct {
-	Parts
-	steps    []step
-	inFlight atomic.Int64
-	running  runningCalls
-	leaving  atomic.Bool
-	refusing atomic.Bool
+	Options
+	steps       []step
+	inFlight    atomic.Int64
+	running     runningCalls
+	draining    atomic.Bool
+	refusingNew atomic.Bool
 	// unreadableLimits rate-limits the log lines about limits that cannot be parsed.
-	unreadableLimits logs.Sparse
+	unreadableLimits logs.RateLimit
 }
 
-// New returns a gateway with the given parts.
-func New(p Parts) *Gateway {
-	g := &Gateway{Parts: p}
+// New returns a gateway with the given options.
+func New(o Options) *Gateway {
+	g := &Gateway{Options: o}
 	g.steps = []step{g.admit, g.findRoute, g.authenticate, g.readBody, g.checkPoison, g.readPrompt, g.reserve}
 	return g
 }
 
-// Leave starts a planned stop: responses ask callers to close their connections.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+// Drain starts a planned stop: responses ask callers to close their connections.
+func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Refuse makes the gateway refuse new requests.
-func (g *Gateway) Refuse() { g.refusing.Store(true) }
+// RefuseNew makes the gateway refuse new requests.
+func (g *Gateway) RefuseNew() { g.refusingNew.Store(true) }
 
 // InFlight returns the number of requests being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
@@ -114,7 +114,7 @@
 	defer g.inFlight.Add(-1)
 	c := g.newCall(w, r)
 	defer c.close()
-	if g.leaving.Load() || g.Away() || g.staleRefusal() != nil {
+	if g.draining.Load() || g.Shedding() || g.staleRefusal() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	c.serve()
@@ -177,7 +177,7 @@
 		Request: g.Protocol.Request(r.Header),
 		outcome: result.Internal, // replaced by the actual outcome
 	}
-	c.stream.position = eventstream.After(c.LastEvent)
+	c.stream.position = eventstream.PositionAfter(c.LastEvent)
 	return c
 }
 
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -56,7 +56,7 @@
 	a := exchange.Answer{RequestID: h.Get(headerID), Signed: h.Get(headerSigned) != "", NotRun: h.Get(headerNotRun) != ""}
 	if text := h.Get(headerLimit); text != "" {
 		a.Limit.PerSecond, a.Limit.Err = strconv.ParseFloat(text, 64)
-		a.Limit.Named = a.Limit.Err == nil
+		a.Limit.Present = a.Limit.Err == nil
 	}
 	return a
 }
@@ -85,32 +85,32 @@
 // newLimitedGateway returns a gateway and the server rate limits that it enforces.
 func newLimitedGateway(t *testing.T, servers, attempts int, answer script) (*httptest.Server, *limits.Controller) {
 	t.Helper()
-	return newGatewayWith(t, servers, attempts, answer, func(*gateway.Parts) {})
+	return newGatewayWith(t, servers, attempts, answer, func(*gateway.Options) {})
 }
 
-// newGatewayWith is newLimitedGateway with modified parts.
-func newGatewayWith(t *testing.T, servers, attempts int, answer script, change func(*gateway.Parts)) (*httptest.Server, *limits.Controller) {
+// newGatewayWith is newLimitedGateway with modified options.
+func newGatewayWith(t *testing.T, servers, attempts int, answer script, change func(*gateway.Options)) (*httptest.Server, *limits.Controller) {
 	t.Helper()
 	pool := upstream.New(upstream.Options{DialTimeout: time.Second, IdleTimeout: time.Second})
 	known := registry.New(decodeServer, pool, rand.New(rand.NewPCG(1, 2)), zap.NewNop())
 	enforced := withLimits(known)
 	known.Listed(startServers(t, servers, answer), 0)
-	parts := gateway.Parts{
-		Config:   fixedConfig{newCatalog(t, attempts)},
-		Servers:  known,
-		Protocol: testProtocol{},
-		Pool:     pool,
-		Limits:   enforced,
-		Verdicts: verdicts.New(verdicts.Options{Checker: pool, Servers: known, Log: zap.NewNop()}),
-		Retries:  retry.NewBudgets(0, func() float64 { return 100 }),
-		Logs:     logs.Loggers{All: zap.NewNop(), Sampled: zap.NewNop()},
-		Metrics:  gateway.NewMetrics(prometheus.NewRegistry()),
-		Routers:  func() int { return 1 },
-		Away:     func() bool { return false },
-		Full:     func() bool { return false },
+	options := gateway.Options{
+		Config:        fixedConfig{newCatalog(t, attempts)},
+		Servers:       known,
+		Protocol:      testProtocol{},
+		Pool:          pool,
+		Limits:        enforced,
+		Verdicts:      verdicts.New(verdicts.Options{Checker: pool, Servers: known, Log: zap.NewNop()}),
+		Retries:       retry.NewBudgets(0, func() float64 { return 100 }),
+		Logs:          logs.Loggers{All: zap.NewNop(), Sampled: zap.NewNop()},
+		Metrics:       gateway.NewMetrics(prometheus.NewRegistry()),
+		Routers:       func() int { return 1 },
+		Shedding:      func() bool { return false },
+		LinkSaturated: func() bool { return false },
 	}
-	change(&parts)
-	web := httptest.NewUnstartedServer(gateway.New(parts))
+	change(&options)
+	web := httptest.NewUnstartedServer(gateway.New(options))
 	web.Config.ConnContext = gateway.ConnContext
 	web.Start()
 	t.Cleanup(web.CloseClientConnections)
@@ -135,11 +135,11 @@
 	route := func(name string, kind catalog.Kind, resume bool) *catalog.Route {
 		return &catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Resume: resume, Timeout: requestDeadline,
-			Split: []catalog.Share{{Service: "svc", Weight: 1}}, Attempts: attempts, Public: true,
+			Split: []catalog.WeightedService{{Service: "svc", Weight: 1}}, Attempts: attempts, Public: true,
 		}
 	}
 	hasty := route("hasty", catalog.Repeatable, false)
-	hasty.Objective = hastyObjective
+	hasty.LatencyObjective = hastyObjective
 	c, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{
 		route("stream", catalog.Stream, true), route("once-stream", catalog.Stream, false),
 		route("safe", catalog.Repeatable, false), route("once", catalog.Once, false), hasty,
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -45,7 +45,7 @@
 		}
 		permit, ok := c.g.Servers.Admit(ctx, server, q.Rank)
 		if ok {
-			return &attempt{call: c, server: server, permit: permit, record: attemptRecord{server: server.ID, serversAge: unknownAge}}, nil
+			return &attempt{call: c, server: server, permit: permit, record: attemptRecord{server: server.ID, registrationAge: unknownAge}}, nil
 		}
 		c.g.Servers.CancelPick(server.Incarnation(), q.Tokens)
 		if err := ctx.Err(); err != nil {
@@ -70,16 +70,16 @@
 func (a *attempt) observeLimit(sent time.Time, answer *upstream.Answer, info exchange.Answer) {
 	fromServer := info.Signed || info.NotRun || answer.StatusCode >= http.StatusMultipleChoices
 	switch {
-	case a.g.Limits == nil || info.OtherServer || !fromServer:
+	case a.g.Limits == nil || info.WrongServer || !fromServer:
 		return
 	case info.Limit.Err != nil:
 		a.g.logUnreadableLimit(a.server.ID, info.Limit.Err)
 		return
-	case !info.Limit.Named && !info.Signed:
+	case !info.Limit.Present && !info.Signed:
 		return
 	}
 	a.g.Limits.Observe(limiter.Observation{
-		Server: a.server.Incarnation(), Named: info.Limit.Named, Rate: limiter.Rate(info.Limit.PerSecond),
+		Server: a.server.Incarnation(), Named: info.Limit.Present, Rate: limiter.Rate(info.Limit.PerSecond),
 		Sent: sent, Received: clock.Now(),
 	})
 }
@@ -87,7 +87,7 @@
 // logUnreadableLimit logs a limit that could not be parsed, at most once per
 // unreadableLogInterval.
 func (g *Gateway) logUnreadableLimit(server string, cause error) {
-	if omitted, due := g.unreadableLimits.Due(clock.Now(), unreadableLogInterval); due {
+	if omitted, allowed := g.unreadableLimits.Allow(clock.Now(), unreadableLogInterval); allowed {
 		g.Logs.All.Warn("cannot parse server rate limit; ignoring it", zap.String("server", server),
 			zap.Int64("lines_left_out", omitted), zap.Error(cause))
 	}
--- a/gateway/steps.go
+++ b/gateway/steps.go
@@ -48,7 +48,7 @@
 
 // admit refuses requests while the router cannot serve any.
 func (g *Gateway) admit(c *call) *result.Error {
-	if g.refusing.Load() {
+	if g.refusingNew.Load() {
 		return result.New(result.Leaving, "the router is stopping").After(leavingRetryAfter)
 	}
 	c.catalog = g.Config.Catalog()
@@ -98,12 +98,12 @@
 
 // linkDelay returns the part of a request's time that is spent on the router's own link: the
 // caller's time starts before the request queues there, and the response queues there again.
-// On a full link that is up to a second, by which a response at the deadline would be late.
+// On a saturated link that is up to a second, by which a response at the deadline would be late.
 func (g *Gateway) linkDelay(timeout time.Duration) time.Duration {
-	if g.LinkWait == nil {
+	if g.LinkDelay == nil {
 		return 0
 	}
-	return min(g.LinkWait(), timeout/linkDelayDivisor)
+	return min(g.LinkDelay(), timeout/linkDelayDivisor)
 }
 
 // unknownRefusal refuses a request for something that the configuration does not contain. A
@@ -176,10 +176,10 @@
 
 // reserve reserves the maximum cost of the request from its account's budget.
 func (g *Gateway) reserve(c *call) *result.Error {
-	if c.account == nil || !c.account.Metered || c.MaxTokens() == 0 {
+	if c.account == nil || !c.account.HasBudget || c.MaxTokens() == 0 {
 		return nil
 	}
-	wait := max(c.route.Objective/reserveWaitDivisor, minReserveWait)
+	wait := max(c.route.LatencyObjective/reserveWaitDivisor, minReserveWait)
 	ctx, cancel := context.WithTimeout(c.r.Context(), wait)
 	defer cancel()
 	if err := g.Budgets.Reserve(ctx, c.account.Name, c.MaxTokens()); err != nil {
@@ -209,7 +209,7 @@
 	c.service = c.catalog.Services[c.pickWeighted(c.route.Split).Service]
 }
 
-func (c *call) pickWeighted(split []catalog.Share) catalog.Share {
+func (c *call) pickWeighted(split []catalog.WeightedService) catalog.WeightedService {
 	total := 0
 	for _, s := range split {
 		total += max(s.Weight, 0)
--- a/server/server.go
+++ b/server/server.go
@@ -297,7 +297,7 @@
 func (s *Server) configChanged(c *catalog.Catalog) {
 	limits := map[string]budget.Limit{}
 	for _, a := range c.Accounts {
-		if a.Metered {
+		if a.HasBudget {
 			limits[a.Name] = budget.Limit{Account: a.Name, Tokens: a.Budget, Version: c.Version}
 		}
 	}
@@ -344,7 +344,7 @@
 	go s.roster.Run(ctx)
 	go s.followStore(ctx)
 	go s.budgets.Run(ctx)
-	if !clock.Known() {
+	if !clock.SuspensionsKnown() {
 		s.log.Warn("kernel does not report suspend time; ages exclude it")
 	}
 	go s.runTicks(ctx)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -44,16 +44,16 @@
 	MaxOpen int
 	// Meter counts the bytes of all connections; it may be nil.
 	Meter *link.Meter
-	// Congested reports whether the router's own link is saturated. The dial
-	// timeout is then CongestedDialTimeout. Congested may be nil.
-	Congested            func() bool
-	CongestedDialTimeout time.Duration
+	// LinkSaturated reports whether the router's own link is saturated. The dial
+	// timeout is then SaturatedDialTimeout. LinkSaturated may be nil.
+	LinkSaturated        func() bool
+	SaturatedDialTimeout time.Duration
 }
 
 // dialTimeout returns the current timeout for opening a connection.
 func (o *Options) dialTimeout() time.Duration {
-	if o.Congested != nil && o.Congested() {
-		return o.CongestedDialTimeout
+	if o.LinkSaturated != nil && o.LinkSaturated() {
+		return o.SaturatedDialTimeout
 	}
 	return o.DialTimeout
 }
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, &Failure{Stage: NotSent, Full: errors.Is(err, errFull), Err: err}
 	}
-	if r.Holds != nil && !r.Holds() {
+	if r.StillValid != nil && !r.StillValid() {
 		p.drop(c)
 		return nil, &Failure{Stage: NotSent, Outdated: true, Err: errOutdated}
 	}
