--- a/lab/account/refusals.go
+++ b/lab/account/refusals.go
@@ -58,8 +58,9 @@
 	return f
 }
 
-// PerSecond returns the number of requests per second of the run by result code, without OK. Index 0
-// is second first, in which the earliest request ended.
+// PerSecond returns, for each result code except OK, the number of requests that ended in each
+// second of the run. Index 0 of each slice is the second in which the earliest request ended, and
+// first is the number of that second.
 func (r *Run) PerSecond() (first int, byName map[string][]int) {
 	byName = map[string][]int{}
 	if len(r.Requests) == 0 {
--- a/lab/policy/scenario.go
+++ b/lab/policy/scenario.go
@@ -42,7 +42,7 @@
 	Faults []Fault
 	// Pages is the number of store objects that hold the budgets.
 	Pages int
-	// Hold is the OwnerHorizon of the budget agents.
+	// Hold is the setting OwnerHorizon of the budget agents.
 	Hold time.Duration
 }
 
--- a/lab/policy/world.go
+++ b/lab/policy/world.go
@@ -11,8 +11,8 @@
 // Allocator is a policy for distributing budgets among routers. All calls are in
 // virtual time.
 type Allocator interface {
-	// Reserve requests tokens at a router and calls done once with the decision. A
-	// router that is killed before may never call done.
+	// Reserve requests tokens at a router and calls done once with the decision. If
+	// the router is killed before the decision, done may never be called.
 	Reserve(router int, id string, need int64, done func(ok bool))
 	// Settle replaces a reservation by the actual cost.
 	Settle(router int, id string, reserved, eventualCost int64)
@@ -70,7 +70,7 @@
 	allocator   Allocator
 	counts      Counts
 	budgets     map[string]*budgetState
-	storeDown   bool // the store
+	storeDown   bool
 	partitioned bool
 	killed      []bool
 	frozen      []bool
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -246,9 +246,9 @@
 	<-r.exited
 }
 
-// spawner starts processes that the kernel kills when this process ends, even by a kill. Pdeathsig
-// ties a child to the thread that starts it, so one locked thread starts all of them and lives as
-// long as this process.
+// spawner starts processes that the kernel kills when this process ends, even when this process is
+// itself killed. Pdeathsig ties a child to the thread that starts it, so one locked thread starts
+// all of them and lives as long as this process.
 type spawner struct{ jobs chan func() }
 
 func newSpawner() *spawner {
