--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -50,9 +50,9 @@
 	// Attempts is the maximum number of backend servers that one request may be sent
 	// to.
 	Attempts int
-	// Public reports that requests need no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Resume reports that an interrupted stream may be resumed at another server.
+	// Resume is set if an interrupted stream may be resumed at another server.
 	Resume bool
 	// Regions lists the regions whose servers may run the requests; if empty, all may.
 	Regions []string
@@ -98,7 +98,7 @@
 	Priority int
 	// Budget is the prepaid number of input and output tokens.
 	Budget int64
-	// HasBudget reports that the account has a budget.
+	// HasBudget is set if the account has a budget.
 	HasBudget bool
 	// Regions lists the regions whose servers may run the requests; if empty, all may.
 	Regions []string
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// The kernel's clocks must show no suspension of the machine while it runs the test, and time must
-// not go back.
+// The kernel's clocks must show no suspension of the machine since the start of the test process,
+// and time must not go back.
 func TestKernelClocks(t *testing.T) {
 	if !clock.SuspensionsKnown() {
 		t.Fatal("the kernel's clocks do not show suspensions")
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -21,7 +21,7 @@
 	return placement.Incarnation{ID: fmt.Sprint("s", n), Started: int64(n) + 1}
 }
 
-// crashReport reports that server n of the service llm crashed while these requests ran.
+// crashReport returns a report that server n of the service llm crashed while these requests ran.
 func crashReport(n int, bodies ...string) poison.Report { return crashReportOf("llm", n, bodies...) }
 
 func crashReportOf(service string, n int, bodies ...string) poison.Report {
@@ -52,7 +52,7 @@
 	}
 }
 
-// reportInterval is the time between two reports: that between two attempts of a caller.
+// reportInterval is the time between two reports. It equals a caller's retry interval.
 const reportInterval = 600 * time.Millisecond
 
 func (f *table) expectQuarantined(body string, want bool) {
@@ -247,8 +247,9 @@
 	f.expectQuarantined("k", true)
 }
 
-// Guards against unbounded memory: a caller that sends new requests at each crash takes no
-// more than 4 MB, and quarantined requests stay quarantined.
+// Guards against unbounded memory: a caller that sends different requests all the time,
+// each of which is running at a crash, takes no more than 4 MB, and quarantined requests stay
+// quarantined.
 func TestMemoryIsBounded(t *testing.T) {
 	f := newTable(t)
 	f.apply(crashReport(1, "k"), crashReport(2, "k"), crashReport(3, "k"))
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -61,7 +61,7 @@
 type GatewayFleet struct {
 	// Seeds are addresses of other routers, used to start without the store.
 	Seeds []string `toml:"seeds"`
-	// FirstStart reports that the whole fleet starts for the first time. Each router
+	// FirstStart is set if the whole fleet starts for the first time. Each router
 	// then waits until it knows the others before it calls the store.
 	FirstStart bool `toml:"first_start"`
 }
--- a/sockets/shares_test.go
+++ b/sockets/shares_test.go
@@ -7,9 +7,9 @@
 )
 
 // Guards against shares whose sum exceeds the limit, so that callers and backend servers leave no
-// descriptor for the store and the other routers. It happens when all callers of a large account
-// reach one small router that was paused: there are thousands of caller connections, a backend
-// connection for each request, and a call from each other router.
+// descriptor for the store and the other routers. The case that matters: all
+// callers of a large account reach one small router that was paused, so that there are thousands
+// of caller connections, a backend connection for each request, and a call from each other router.
 func TestSharesLeaveRoomForControl(t *testing.T) {
 	for _, limit := range []int{512, 1024, 2048, 3075, 4100, 8192, 100_000} {
 		s := sockets.Divide(limit)
--- a/store/counting.go
+++ b/store/counting.go
@@ -18,7 +18,7 @@
 	Reads int64 `json:"reads"`
 	// Writes are creates, updates and deletes.
 	Writes int64 `json:"writes"`
-	// Watches are watch calls.
+	// Watches are watch calls, which wait for changes.
 	Watches int64 `json:"watches"`
 	// BytesOut and BytesIn are the value bytes written and read.
 	BytesOut int64 `json:"bytes_out"`
--- a/store/store.go
+++ b/store/store.go
@@ -52,7 +52,7 @@
 	Objects []Object `json:"objects"`
 	// Revision is the revision from which to continue the watch.
 	Revision int64 `json:"revision"`
-	// Gap reports that events since the requested revision have been discarded,
+	// Gap is set if events since the requested revision have been discarded,
 	// so that the watcher must list again.
 	Gap bool `json:"gap,omitempty"`
 }
--- a/table/table.go
+++ b/table/table.go
@@ -66,7 +66,7 @@
 	ID string `json:"id"`
 	// Addr is its IP:port.
 	Addr string `json:"addr"`
-	// Fencing reports that the server rejects requests with an outdated fencing token.
+	// Fencing is set if the server rejects requests with an outdated fencing token.
 	Fencing bool `json:"fencing,omitempty"`
 }
 
