--- a/budget/agent.go
+++ b/budget/agent.go
@@ -208,8 +208,8 @@
 }
 
 // Undelivered handles a message that was not delivered. If certain is set, the receiver
-// certainly did not get it and its tokens are taken back, unless the receiver was fenced,
-// for then they were reclaimed with it.
+// certainly did not get it and its tokens return to this router's balance, unless the
+// receiver was fenced: then they were already reclaimed from it.
 func (a *Agent) Undelivered(now time.Time, m Message, certain bool) []Effect {
 	p := a.budgetState(m.Budget)
 	if certain && m.Delta > 0 && !a.fenced[m.To.Incarnation] && p.sent[m.To.Incarnation] == m.Total {
--- a/budget/budget_state.go
+++ b/budget/budget_state.go
@@ -17,7 +17,7 @@
 	token      uint64
 	need       int64
 	drawSentAt time.Time // zero: no draw has been sent to the owner
-	// peersOnly tells that the store has only the final reserve left, which this request
+	// peersOnly is set if the store has only the final reserve left, which this request
 	// may not take from: only tokens held by other routers can serve it.
 	peersOnly bool
 }
@@ -32,7 +32,7 @@
 // holder is a router that this router granted tokens to.
 type holder struct {
 	peer Peer
-	// recallable tells that the holder may have more than its running requests need, so
+	// recallable is set if the holder may have more than its running requests need, so
 	// that a recall is worthwhile.
 	recallable bool
 }
--- a/budget/limits.go
+++ b/budget/limits.go
@@ -13,7 +13,7 @@
 }
 
 // SetLimits applies the budgets of a configuration. The whole balance of a budget whose
-// limit is lowered is returned and drawn anew, since the issued tokens may exceed the new
+// limit is lowered is returned and drawn again, since the issued tokens may exceed the new
 // limit; a router that cannot reach the store then has none of it.
 func (a *Agent) SetLimits(now time.Time, limits map[string]Limit) []Effect {
 	for id, next := range limits {
--- a/budget/messages.go
+++ b/budget/messages.go
@@ -62,7 +62,7 @@
 	Total int64
 	// Delta is the part of Total that this message adds.
 	Delta int64
-	// Scarce tells the receiver to return unused tokens immediately.
+	// Scarce asks the receiver to return unused tokens immediately.
 	Scarce bool
 	// Refused is set on a Grant that moves nothing.
 	Refused Cause
@@ -91,7 +91,7 @@
 // Resolve answers a reservation that had to wait.
 type Resolve struct {
 	Token uint64
-	// OK tells that the tokens are reserved; otherwise Cause says why not.
+	// OK is set if the tokens are reserved; otherwise Cause is the reason.
 	OK    bool
 	Cause Cause
 }
--- a/budget/paging.go
+++ b/budget/paging.go
@@ -27,9 +27,9 @@
 	need   int64
 	want   int64
 	at     time.Time
-	// awaited tells that a caller waits for the write although it draws nothing.
+	// awaited is set if a caller waits for the write although it draws nothing.
 	awaited bool
-	// finalReserve tells that the draw may take from the budget's final reserve.
+	// finalReserve is set if the draw may take from the budget's final reserve.
 	finalReserve bool
 }
 
@@ -61,7 +61,7 @@
 	write   *pageWrite
 	ops     []pageOp
 	wroteAt time.Time
-	// failed tells that the last call got no answer.
+	// failed is set if the last call got no response.
 	failed bool
 	// calledAt is when the outstanding call was made.
 	calledAt time.Time
@@ -75,7 +75,7 @@
 	pause        time.Duration
 	// escrow is this holder's escrow as the page in the store has it.
 	escrow heldEscrow
-	// rewriteEscrow tells that the page must be written although no tokens move.
+	// rewriteEscrow is set if the page must be written although no tokens move.
 	rewriteEscrow bool
 }
 
--- a/controller/budgets/budgets_test.go
+++ b/controller/budgets/budgets_test.go
@@ -44,7 +44,7 @@
 	return budgets.New(cfg, memory.New(), saturatedMembers{addr: addr}, client, zap.NewNop(), func() {}), client
 }
 
-// makeScarce tells a controller that the tokens of a budget are scarce, so that it asks the owner
+// makeScarce informs a controller that the tokens of a budget are scarce, so that it asks the owner
 // for the tokens of each request separately.
 func makeScarce(t *testing.T, c *budgets.Controller) {
 	t.Helper()
--- a/filter/deduplicate/deduplicate.go
+++ b/filter/deduplicate/deduplicate.go
@@ -124,7 +124,7 @@
 
 // claimFailed returns the error for a request whose claim has no decision, and withdraws
 // the claim in case it was recorded. Repeatable requests need a claim too: if this router
-// died, the tokens of an unrecorded request could not be told from unspent ones.
+// died, the tokens of an unrecorded request could not be distinguished from unspent ones.
 func (h *handler) claimFailed(op ledger.Op, err error) error {
 	h.withdraw(op)
 	return result.New(result.LedgerUnreachable, "no ledger shard owner answers").Wrap(err).After(unavailableRetryAfter)
--- a/gateway/completion_test.go
+++ b/gateway/completion_test.go
@@ -157,7 +157,7 @@
 		},
 		"silent": func(c *net.TCPConn, r *http.Request, _ int) {
 			send(c, head(r, 200, chunkedField), chunk(events(1, 3)))
-			_, _ = c.Read(make([]byte, 1)) // until the gateway gives up
+			_, _ = c.Read(make([]byte, 1)) // until the gateway closes the connection
 		},
 	}
 	for name, ending := range endings {
--- a/gateway/link_delay_test.go
+++ b/gateway/link_delay_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile: in a scenario run a request waited 2.3
-// s in a router with a saturated link and reached a server 3.6 s after that server had left. No
-// byte of it was sent, so another router may take it at once.
+// TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile: in a scenario run a request waited
+// 2.3 s in a router with a saturated link and reached a server 3.6 s after that server had left.
+// While no byte of the request has been sent, another router may take it at once.
 func TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile(t *testing.T) {
 	g := &Gateway{Options: Options{Stale: func() bool { return true }}}
 	r := httptest.NewRequest(http.MethodGet, "/r/x", nil)
--- a/gateway/stale_config_test.go
+++ b/gateway/stale_config_test.go
@@ -16,8 +16,9 @@
 func (a agedConfig) Age() time.Duration        { return time.Duration(a) }
 
 // TestStaleConfigDoesNotReportUnknown: a caller whose route or key was added longer ago than
-// the operator's bound must not be told that it does not exist by a router that cannot know. A
-// router did so with a configuration up to 8 s old, where 3 s are allowed.
+// the operator's bound must not get the response that it does not exist, since a router with
+// such an old configuration cannot know. A router did respond so with a configuration up to 8 s
+// old, where 3 s are allowed.
 func TestStaleConfigDoesNotReportUnknown(t *testing.T) {
 	const within = 3 * time.Second
 	unknown := result.New(result.UnknownService, "no route")
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -356,7 +356,7 @@
 	return d.fleet.faults(standin.Faults{})
 }
 
-// kill ends a router with open streams and starts it anew.
+// kill ends a router with open streams and restarts it.
 func (d *demoRun) kill(ctx context.Context, r *routerNode) error {
 	d.mu.Lock()
 	d.killed[r.settings.Listen.Callers] = true
--- a/limiter/rate.go
+++ b/limiter/rate.go
@@ -39,7 +39,7 @@
 	// well, although only whole requests count.
 	minWindowRequests = 4
 	// minRate is granted to a server that names a lower limit, or 0, in requests a second:
-	// only its answers tell that the limit has ended.
+	// only its responses show that the limit has ended.
 	minRate = 0.1
 	// maxRate bounds the permits that a ledger records, in requests a second.
 	maxRate = 1000
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -125,7 +125,7 @@
 }
 
 // TestMessagesWithOtherFieldsAreErrors checks that a message with fewer or more fields
-// than expected is an error and not decoded with zero fields.
+// than expected is an error and not decoded with fields of value 0.
 func TestMessagesWithOtherFieldsAreErrors(t *testing.T) {
 	type shorter struct {
 		Name  string
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -10,7 +10,7 @@
 
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// incarnation returns the process of a server of fleet.
+// incarnation returns the incarnation of the server that fleet registers under this id.
 func incarnation(id string) placement.Incarnation { return placement.Incarnation{ID: id} }
 
 func fleet(n int) *placement.Servers {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestLeastLoadedServerIsPickedWithoutPrefix checks that without a prefix the least loaded server is
-// picked, preferably in the router's own failure domain.
+// TestLeastLoadedServerIsPickedWithoutPrefix checks that without a prefix the least loaded
+// server is picked, and among equally loaded ones one in the router's own failure domain.
 func TestLeastLoadedServerIsPickedWithoutPrefix(t *testing.T) {
 	f := fleet(3)
 	q := placement.Query{Domain: "z1"}
--- a/poison/evaluate.go
+++ b/poison/evaluate.go
@@ -115,7 +115,7 @@
 }
 
 // isAmbiguous reports whether another request ran at all the same crashes, so that the cause
-// cannot be told.
+// cannot be determined.
 func (t *Table) isAmbiguous(f Fingerprint, r *record) bool {
 	for other, present := range t.crashes[r.crashes[0]].suspects {
 		if present && other != f && t.ranAtAll(other, r.crashes) {
--- a/result/result.go
+++ b/result/result.go
@@ -1,7 +1,7 @@
 // Package result defines gaplink's numbered result codes.
 //
 // Every error that a caller or an operator sees carries one of these codes. The code
-// alone tells whether the request certainly did not run, so that callers need not infer
+// alone shows whether the request certainly did not run, so that callers need not infer
 // it from the HTTP status.
 package result
 
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -168,7 +168,7 @@
 	return who.Incarnation
 }
 
-// fence tells a router to fence off an incarnation.
+// fence requests a router to fence off an incarnation.
 func (f *fleet) fence(i int, incarnation string) error {
 	return f.peer(i, func(ctx context.Context, c *peer.Client, addr string) error {
 		_, err := peer.Call[peer.BarrierRequest, peer.Empty](ctx, c, addr, peer.MethodBarrier, &peer.BarrierRequest{Fenced: []string{incarnation}})
