--- a/budget/budget_state.go
+++ b/budget/budget_state.go
@@ -8,7 +8,7 @@
 	// needWindow is the number of reservations that the mean need averages over.
 	needWindow = 8
 	// startupDelay is how long after its start a router prefetches nothing: by then it has
-	// discovered the other routers and knows whether it is an owner at all.
+	// discovered the other routers and can tell whether it is an owner at all.
 	startupDelay = 500 * time.Millisecond
 )
 
--- a/budget/final_reserve.go
+++ b/budget/final_reserve.go
@@ -19,8 +19,8 @@
 	return int64(a.cfg.FinalReserveShare * float64(r.Limit))
 }
 
-// inFinalReserve reports whether, as far as this router knows, only the final reserve is
-// left.
+// inFinalReserve reports whether, by the router's copy of the page, only the final reserve
+// is left.
 func (a *Agent) inFinalReserve(p *budgetState) bool {
 	r := a.record(p)
 	return r != nil && a.cfg.FinalReserveShare > 0 && r.Free() <= a.finalReserve(r)
--- a/budget/final_reserve_test.go
+++ b/budget/final_reserve_test.go
@@ -42,8 +42,8 @@
 }
 
 // TestTailIsSpentWhereTheDemandIs: all callers of an account use one of six routers, and
-// its budget is small. It guards against a final reserve that stays unused: in a test day
-// from 0.64 up to all of the final reserves of ten accounts was unused at the end, 15 to
+// its budget is small. It guards against a final reserve that stays unused: on a simulated
+// day from 0.64 up to all of the final reserves of ten accounts was unused at the end, 15 to
 // 30 s after their budgets were spent. Each router assumed that its own demand was a sixth
 // of the fleet's, and a request could take a quarter of what was left, which for a final
 // reserve of 2,400 tokens no request could use. All requests were refused meanwhile, and
--- a/budget/limits.go
+++ b/budget/limits.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// applyLimits updates the router's copy of a page to the limits it knows. A page that was
-// written by a router with a newer configuration keeps its own.
+// applyLimits updates the router's copy of a page to the limits of the router's
+// configuration. A page that was written by a router with a newer configuration keeps its own.
 func (a *Agent) applyLimits(n int, ps *pageState) {
 	if !ps.have {
 		return
--- a/budget/outage_test.go
+++ b/budget/outage_test.go
@@ -12,7 +12,7 @@
 // The tests in this file use the load of a small fleet with sticky callers: each router's
 // share of a small account's budget covers a few requests, large requests are as large as
 // such a share, and a store outage lasts longer than a router's own share. The numbers are
-// those of test days, scaled down by 100: requests of 10,000 tokens, shares of 3,000 to
+// those of simulated days, scaled down by 100: requests of 10,000 tokens, shares of 3,000 to
 // 20,000, outages of 7 to 9 s.
 
 // newBusyNetwork returns a network of three routers that each have served requests of 100
@@ -180,7 +180,7 @@
 
 // TestBudgetIsSpentCompletely: an account that keeps asking for more than its budget is
 // served until only the final reserve and less than one request are left, whichever router
-// holds the last tokens. It guards against unused tokens: in test days with a final
+// holds the last tokens. It guards against unused tokens: on simulated days with a final
 // reserve of a fiftieth, accounts were refused while 3 to 4% of their tokens were unused.
 func TestBudgetIsSpentCompletely(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -201,8 +201,8 @@
 	})
 }
 
-// TestManyWritersMakeWay guards against a conflict storm: in a test day 86 routers started
-// together and had 7,000 conflicts in 25 s. 86 routers with tokens to return must write
+// TestManyWritersMakeWay guards against a conflict storm: on a simulated day 86 routers
+// started together and had 7,000 conflicts in 25 s. 86 routers with tokens to return must write
 // the page only a few times each, and one with a waiting caller must succeed soon.
 func TestManyWritersMakeWay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/budget/redirect_test.go
+++ b/budget/redirect_test.go
@@ -70,8 +70,8 @@
 
 // TestOwnersThatRedirectAreAskedOnce guards against an endless redirect loop. The store is
 // unavailable to all routers, each router that could be the owner of a budget answers that
-// another one is, and other calls show that all of them are reachable. In a test day one
-// router was skipped forty times in a tenth of a second by one other, and 20,000 times in
+// another one is, and other calls show that all of them are reachable. On a simulated day
+// one router was skipped forty times in a tenth of a second by one other, and 20,000 times in
 // twelve seconds by the fleet; the callers waited meanwhile, and small routers that became
 // owners this way caused write conflicts on the page.
 func TestOwnersThatRedirectAreAskedOnce(t *testing.T) {
--- a/controller/follow/follow.go
+++ b/controller/follow/follow.go
@@ -291,8 +291,8 @@
 	return maxBatchPause * time.Duration(room) / maxBatch
 }
 
-// knownRevision returns the revision up to which this router knows all changes, from the store or
-// from other routers; 0 if a list is required.
+// knownRevision returns the revision up to which this router has received all changes, from the
+// store or from other routers; 0 if a list is required.
 func (f *Follower) knownRevision() int64 {
 	if f.relist {
 		return 0
--- a/controller/limits/fleet_test.go
+++ b/controller/limits/fleet_test.go
@@ -77,14 +77,14 @@
 	return membership.Member{ID: idOf(n), Kind: "router", State: membership.Live}
 }
 
-// newSimulation starts a fleet in which each router knows each other one with probability
-// knows.
-func newSimulation(ctx context.Context, seed uint64, routers int, knows float64) *simulation {
+// newSimulation starts a fleet in which each router has discovered each other one with
+// probability discovered.
+func newSimulation(ctx context.Context, seed uint64, routers int, discovered float64) *simulation {
 	w := &simulation{ctx: ctx, attempts: map[limiter.Rank]int{}, rng: rand.New(&sharedSource{source: rand.NewPCG(seed, 44)})}
 	for n := range routers {
 		r := &router{sim: w, number: n, view: membership.NewView(memberOf(n))}
 		for other := range routers {
-			if w.rng.Float64() < knows {
+			if w.rng.Float64() < discovered {
 				r.view.Add(memberOf(other))
 			}
 		}
@@ -102,7 +102,7 @@
 	r.startedAt, r.stop, r.dead = begun, cancel, false
 	r.Controller = limits.New(limits.Options{
 		Self: idOf(r.number), Fleet: r, Log: zap.NewNop(),
-		KnowsFleet:      func() bool { return time.Since(begun) >= 4*time.Second },
+		FleetDiscovered: func() bool { return time.Since(begun) >= 4*time.Second },
 		AcceptsRequests: func(placement.Incarnation) bool { return true },
 	})
 	go r.Run(ctx)
@@ -399,8 +399,8 @@
 	}
 }
 
-// Guards against several owners of one share of a rate: each router knows two thirds of the
-// others, processes crash and are restarted, and some are paused.
+// Guards against several owners of one share of a rate: each router has discovered two thirds
+// of the others, processes crash and are restarted, and some are paused.
 func TestColdRateHoldsDuringRouterChurn(t *testing.T) {
 	const lasts = 8 * time.Second
 	for name, c := range map[string]struct {
@@ -482,7 +482,7 @@
 }
 
 // Guards against a server with one owner that receives no requests until the restarted owner
-// knows the other routers.
+// has discovered the other routers.
 func TestRestartedOwnerHasAFallback(t *testing.T) {
 	runVirtual(t, func(ctx context.Context) {
 		w := newSimulation(ctx, 7, 6, 1)
--- a/controller/limits/limits.go
+++ b/controller/limits/limits.go
@@ -46,10 +46,10 @@
 	Owners(server string) []string
 	// Ask requests a permit from a router.
 	Ask(ctx context.Context, id string, req *peer.PermitRequest) (*peer.PermitAnswer, error)
-	// Report sends a router the limits that this one knows.
+	// Report sends a router limits that this one has recorded.
 	Report(ctx context.Context, id string, req *peer.LimitsRequest) (*peer.LimitsAnswer, error)
 	// Listeners returns the routers that receive each report, and Peers those that may be
-	// asked for all that they know, in order of preference.
+	// asked for all their limits, in order of preference.
 	Listeners() []string
 	Peers() []string
 }
@@ -60,8 +60,9 @@
 	Self string
 	// Fleet may be nil: limits are then learnt but not enforced.
 	Fleet Fleet
-	// KnowsFleet reports whether this router knows the others. Until then it grants no permits.
-	KnowsFleet func() bool
+	// FleetDiscovered reports whether this router has had time to discover the other routers.
+	// Until then it grants no permits.
+	FleetDiscovered func() bool
 	// AcceptsRequests reports whether a process is registered and not leaving. The limits of other
 	// processes are dropped.
 	AcceptsRequests func(placement.Incarnation) bool
@@ -154,7 +155,7 @@
 	c.expire(now)
 }
 
-// CatchUp asks other routers for the limits that they know, unless relays send them anyway.
+// CatchUp asks other routers for their limits, unless relays send them anyway.
 func (c *Controller) CatchUp(ctx context.Context) {
 	if c.Updated == nil || !c.Updated() {
 		c.spread.CatchUp(ctx)
--- a/controller/limits/permits.go
+++ b/controller/limits/permits.go
@@ -102,18 +102,18 @@
 // owners returns the routers that may be asked for a permit for a server: the owners of its
 // rate except those that failed to answer recently, or a fallback router in place of an only
 // owner. A cold server has no fallback, since nothing determines which routers would grant in
-// place of its owner. A router that may not know all others yet asks them and grants nothing
-// itself; those that it asks know whether they are owners. The caller holds c.mu.
+// place of its owner. A router that may not have discovered all others yet asks them and grants
+// nothing itself; those that it asks can tell whether they are owners. The caller holds c.mu.
 func (c *Controller) owners(now time.Time, t Target, rate limiter.Rate) (list []owner) {
 	ids := c.Fleet.Owners(t.Server.ID)
 	split := rate.Split(len(ids))
-	knowsFleet := c.KnowsFleet()
+	fleetDiscovered := c.FleetDiscovered()
 	for rank, id := range ids {
 		o := owner{id: id, share: split.Share, fallback: rank >= split.Owners}
 		switch {
-		case o.fallback && (split.Owners > 1 || t.ColdRate > 0 || !knowsFleet || rank > maxFallbacks || len(list) > 0):
+		case o.fallback && (split.Owners > 1 || t.ColdRate > 0 || !fleetDiscovered || rank > maxFallbacks || len(list) > 0):
 			return list
-		case now.Before(c.unanswered[id]), id == c.Self && !knowsFleet:
+		case now.Before(c.unanswered[id]), id == c.Self && !fleetDiscovered:
 			continue
 		case o.fallback:
 			o.share = rate.Fallback()
@@ -235,10 +235,10 @@
 	c.Log.Info("owner of a server's rate does not answer", zap.String("router", id), zap.String("server", server.ID), zap.Error(cause))
 }
 
-// OnPermit handles another router's request for a permit. Until this router knows the others
-// it returns result.Starting, and the other one asks elsewhere.
+// OnPermit handles another router's request for a permit. Until this router has had time
+// to discover the others it returns result.Starting, and the other one asks elsewhere.
 func (c *Controller) OnPermit(_ context.Context, req *peer.PermitRequest) (*peer.PermitAnswer, error) {
-	if !c.KnowsFleet() {
+	if !c.FleetDiscovered() {
 		return nil, result.New(result.Starting, "the process has just started")
 	}
 	return c.grant(req), nil
--- a/controller/registry/cold_test.go
+++ b/controller/registry/cold_test.go
@@ -29,7 +29,7 @@
 
 func withCold(c *registry.Controller) {
 	c.SetLimits(limits.New(limits.Options{
-		Self: "self", Fleet: singleRouter{}, KnowsFleet: func() bool { return true }, AcceptsRequests: c.AcceptsRequests, Log: zap.NewNop(),
+		Self: "self", Fleet: singleRouter{}, FleetDiscovered: func() bool { return true }, AcceptsRequests: c.AcceptsRequests, Log: zap.NewNop(),
 	}))
 	c.SetWarmups(map[string]registry.Warmup{"svc": {Duration: 3 * time.Second, Rate: coldRate}})
 }
@@ -136,20 +136,20 @@
 			c.Changed([]store.Object{coldEntry("a", version, 0)})
 		}
 		c.Advanced(newest + 1)
-		if told, known := c.Since(last, 10); len(told.Values) > 0 || !known {
-			t.Errorf("%d renewals propagated, known: %v", len(told.Values), known)
+		if propagated, known := c.Since(last, 10); len(propagated.Values) > 0 || !known {
+			t.Errorf("%d renewals propagated, known: %v", len(propagated.Values), known)
 		}
 		c.Changed([]store.Object{coldEntry("a", 100, 3*time.Second)})
 		time.Sleep(time.Second)
 		c.Changed([]store.Object{coldEntry("a", 101, 2*time.Second), entry("b", 102, true)})
 		c.Advanced(newest + 2)
 		changes, _ := c.Since(last, 10)
-		told := changes.Values
-		if len(told) != 2 || told[0].Version != 100 || told[1].Version != 102 {
-			t.Fatalf("propagated %+v", told)
+		propagated := changes.Values
+		if len(propagated) != 2 || propagated[0].Version != 100 || propagated[1].Version != 102 {
+			t.Fatalf("propagated %+v", propagated)
 		}
-		if told[0].Age < time.Second || told[1].Age > 100*time.Millisecond {
-			t.Errorf("ages %v and %v", told[0].Age, told[1].Age)
+		if propagated[0].Age < time.Second || propagated[1].Age > 100*time.Millisecond {
+			t.Errorf("ages %v and %v", propagated[0].Age, propagated[1].Age)
 		}
 	})
 }
--- a/controller/registry/lapse_test.go
+++ b/controller/registry/lapse_test.go
@@ -21,8 +21,8 @@
 	return list
 }
 
-// regainAfterOutage registers the servers and disconnects the router from the store for nine seconds.
-func regainAfterOutage(c *registry.Controller) {
+// restoreAfterOutage registers the servers and disconnects the router from the store for nine seconds.
+func restoreAfterOutage(c *registry.Controller) {
 	c.Listed(registered(serverCount, 1), serverCount)
 	c.StoreLost()
 	time.Sleep(9 * time.Second)
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(c *registry.Controller) {
-				regainAfterOutage(c)
+				restoreAfterOutage(c)
 				answer(c)
 				for _, id := range []string{"s8", "s9"} {
 					if c.AcceptsRequests(incarnationOf(id)) {
@@ -82,7 +82,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(c *registry.Controller) {
-				regainAfterOutage(c)
+				restoreAfterOutage(c)
 				answer(c)
 				time.Sleep(2 * time.Second)
 				if count(c) != serverCount {
--- a/controller/roster/roster.go
+++ b/controller/roster/roster.go
@@ -103,8 +103,8 @@
 	return &Controller{Options: o, introduced: make(chan struct{}), entries: map[string]changelog.Received{}}
 }
 
-// Introduced returns a channel that is closed when this router knows the size of the fleet and
-// where to get updates.
+// Introduced returns a channel that is closed when this router has determined the size of the
+// fleet and where to get updates.
 func (c *Controller) Introduced() <-chan struct{} { return c.introduced }
 
 // Size returns the known number of routers, at least 1.
--- a/controller/spread/spread.go
+++ b/controller/spread/spread.go
@@ -44,7 +44,7 @@
 
 // Fleet are the other routers.
 type Fleet[R any] interface {
-	// Report sends a report to a router, and asks for all that the router knows if all is set.
+	// Report sends a report to a router, and asks for its complete state if all is set.
 	Report(ctx context.Context, id string, r R, all bool) (R, error)
 	// Listeners returns the routers that receive each report.
 	Listeners() []string
@@ -58,7 +58,7 @@
 	Fleet Fleet[R]
 	// Receive applies the report of another router.
 	Receive func(R)
-	// Snapshot returns all that this router knows.
+	// Snapshot returns the complete state of this router.
 	Snapshot func() R
 	// Trim bounds a report that is queued for a router; nil: it is not bounded.
 	Trim func(R) R
@@ -245,7 +245,7 @@
 	return err
 }
 
-// CatchUp asks other routers for all that they know, one after the other until one answers.
+// CatchUp asks other routers for their complete state, one after the other until one answers.
 func (s *Spreader[R]) CatchUp(ctx context.Context) {
 	if s.Fleet == nil {
 		return
--- a/controller/updates/fleet_test.go
+++ b/controller/updates/fleet_test.go
@@ -98,7 +98,7 @@
 	members *members.Controller
 	ctx     context.Context
 	stop    context.CancelFunc
-	// roster is nil if the router knows the others from the start.
+	// roster is nil if the router has the list of the others from the start.
 	roster        *roster.Controller
 	followRouters *follow.Follower
 	followers     []*follow.Follower
@@ -277,7 +277,7 @@
 func nobody(int) bool { return false }
 
 // simulate starts a fleet whose store holds a configuration and a server, waits until all routers
-// know them, and runs body in virtual time.
+// have received them, and runs body in virtual time.
 func simulate(t *testing.T, body func(*fleet)) {
 	simulateFleet(t, &fleet{}, body)
 }
@@ -340,7 +340,7 @@
 	return m
 }
 
-// add starts a router that knows the others.
+// add starts a router that has the list of the others.
 func (f *fleet) add(n int) {
 	r := f.build(n, member(n), nil)
 	for other := range routers {
@@ -387,7 +387,7 @@
 	})
 	r.verdicts = verdicts.New(verdicts.Options{Checker: goneChecker{}, Servers: allUsable{}, Fleet: verdictPeers{fleetCalls{f}, r}, Updated: r.fromRelays, OwnerDetectsPauses: true, Log: zap.NewNop()})
 	r.limits = limits.New(limits.Options{
-		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, KnowsFleet: func() bool { return true },
+		Self: self.ID, Fleet: limitPeers{verdictPeers{fleetCalls{f}, r}}, FleetDiscovered: func() bool { return true },
 		Updated: r.fromRelays, OwnerTicks: true,
 		AcceptsRequests: func(placement.Incarnation) bool { return true }, Log: zap.NewNop(),
 	})
@@ -624,8 +624,8 @@
 
 // TestSimultaneouslyStalledWatchesCauseNoStampede guards against a stampede of calls after the
 // store has lost its history and the watches of both watchers stall. Relays query the store for all
-// others: of sixty routers fewer than half make a call of their own. In an earlier simulated day
-// each of 75 routers made three.
+// others: of sixty routers fewer than half make a call of their own. On an earlier simulated
+// day each of 75 routers made three.
 func TestSimultaneouslyStalledWatchesCauseNoStampede(t *testing.T) {
 	simulate(t, func(f *fleet) {
 		f.resetCalls()
--- a/controller/updates/propagation_test.go
+++ b/controller/updates/propagation_test.go
@@ -21,7 +21,8 @@
 // another router were never received again.
 //
 // The cause was that every part had a timeout of its own, nothing compared their sum with the bound,
-// and updates carried no age. With any one of these faults fixed alone, the tests below still fail.
+// and updates carried no age. With any one of these faults fixed alone, the tests below still
+// fail: their messages list the state of the routers and its age.
 //
 // In these tests the store stops answering nearly all routers of a fleet of sixty, or refuses some
 // of them, while servers leave continuously, half of them by deleting their registration without
--- a/controller/updates/updates.go
+++ b/controller/updates/updates.go
@@ -122,7 +122,7 @@
 	Log   *zap.Logger
 }
 
-// Evacuations holds the evacuated failure domains that a router knows.
+// Evacuations holds the evacuated failure domains in the state of a router.
 type Evacuations interface {
 	// Known returns the evacuated domains and the store revision at which they were read.
 	Known() (domains []string, revision int64)
--- a/controller/verdicts/verdicts.go
+++ b/controller/verdicts/verdicts.go
@@ -31,7 +31,7 @@
 	Check(ctx context.Context, address string, owner placement.Incarnation) upstream.Liveness
 }
 
-// Servers are the backend servers that this router knows.
+// Servers are the backend servers on this router's list.
 type Servers interface {
 	// AcceptsRequests reports whether a process is running and not draining.
 	AcceptsRequests(in placement.Incarnation) bool
@@ -39,7 +39,7 @@
 
 // Fleet are the other routers.
 type Fleet interface {
-	// Report sends a report to a router, and asks for all that it knows if req.All is set.
+	// Report sends a report to a router, and asks for its complete state if req.All is set.
 	Report(ctx context.Context, id string, req *peer.VerdictsRequest) (*peer.VerdictsAnswer, error)
 	// Listeners returns the routers that receive each report.
 	Listeners() []string
@@ -135,7 +135,7 @@
 	}
 }
 
-// CatchUp asks other routers for what they know, unless relays send it anyway.
+// CatchUp asks other routers for their verdicts and crashes, unless relays send them anyway.
 func (c *Controller) CatchUp(ctx context.Context) {
 	if !c.relaysSendReports() {
 		c.spread.CatchUp(ctx)
--- a/gateway/charge_test.go
+++ b/gateway/charge_test.go
@@ -8,7 +8,7 @@
 )
 
 // Covers responses that are lost on the way: the server generates all of a response and the
-// router sees none or part of it. In a scenario run with a tenth of the responses lost,
+// router sees none or part of it. On a simulated day with a tenth of the responses lost,
 // charging only the observed tokens overspent a budget by 0.3%.
 func TestSpentIsNeverLessThanWhatServersMayHaveGenerated(t *testing.T) {
 	cases := []struct {
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -25,7 +25,7 @@
 // withLimits makes a registry enforce the limits that servers announce.
 func withLimits(known *registry.Controller) *limits.Controller {
 	l := limits.New(limits.Options{
-		Self: "self", Fleet: singleRouterFleet{}, KnowsFleet: func() bool { return true }, AcceptsRequests: known.AcceptsRequests, Log: zap.NewNop(),
+		Self: "self", Fleet: singleRouterFleet{}, FleetDiscovered: func() bool { return true }, AcceptsRequests: known.AcceptsRequests, Log: zap.NewNop(),
 	})
 	known.SetLimits(l)
 	return l
--- a/gateway/link_delay_test.go
+++ b/gateway/link_delay_test.go
@@ -19,7 +19,7 @@
 
 // TestLinkDelayShortensTheDeadline guards against deadlines that ignore queueing at the
 // router's link, as for an account with heavy traffic whose callers all reach a router with a
-// small link. In a scenario run a read sent at 17.1 s arrived at 18.0 s and got the 504 of its
+// small link. On a simulated day a read sent at 17.1 s arrived at 18.0 s and got the 504 of its
 // route's 2 s timeout at 20.0 s, although its caller counts from 17.1 s.
 func TestLinkDelayShortensTheDeadline(t *testing.T) {
 	c, err := catalog.New(1, catalog.Limits{}, []*catalog.Route{{
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile: in a scenario run a request waited
+// TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile: on a simulated day a request waited
 // 2.3 s in a router with a saturated link and reached a server 3.6 s after that server had left.
 // While no byte of the request has been sent, another router may take it at once.
 func TestRequestIsNotSentWhenTheRouterTurnsStaleMeanwhile(t *testing.T) {
--- a/limiter/ledger.go
+++ b/limiter/ledger.go
@@ -28,8 +28,8 @@
 	rank Rank
 }
 
-// account holds the recent events of a server.
-type account struct {
+// serverEvents holds the recent events of a server.
+type serverEvents struct {
 	// granted are the permits and asked all requests for one, the oldest first.
 	granted, asked []event
 }
@@ -37,34 +37,34 @@
 // Ledger records the permits that a router granted, and the requests for them. It is not safe
 // for concurrent use.
 type Ledger struct {
-	accounts map[placement.Incarnation]*account
+	servers map[placement.Incarnation]*serverEvents
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{accounts: map[placement.Incarnation]*account{}} }
+func NewLedger() *Ledger { return &Ledger{servers: map[placement.Incarnation]*serverEvents{}} }
 
 // Wait returns how long from now the next permit for a server can be granted to a request of a
 // rank; 0: at once. More urgent requests are guaranteed the rate of their recent demand, up to
 // maxUrgentShare, and less urgent ones their demand up to the rest.
 func (l *Ledger) Wait(now time.Time, server placement.Incarnation, rate Rate, rank Rank) time.Duration {
-	a := l.accounts[server]
-	if a == nil {
+	s := l.servers[server]
+	if s == nil {
 		return 0
 	}
 	moreUrgent := func(other Rank) bool { return other < rank }
 	lessUrgent := func(other Rank) bool { return other > rank }
-	urgent, most := a.demand(now, moreUrgent), maxUrgentShare*rate
-	rest := min(a.demand(now, lessUrgent), rate-most)
+	urgent, most := s.demand(now, moreUrgent), maxUrgentShare*rate
+	rest := min(s.demand(now, lessUrgent), rate-most)
 	reserve := 0
 	if 0 < urgent && urgent < most {
 		reserve = urgentReserve
 	}
-	wait := waitFor(now, a.granted, rate, reserve)
+	wait := waitFor(now, s.granted, rate, reserve)
 	if urgent > 0 {
-		wait = max(wait, waitFor(now, excluding(a.granted, moreUrgent), rate-min(urgent, most), 0))
+		wait = max(wait, waitFor(now, excluding(s.granted, moreUrgent), rate-min(urgent, most), 0))
 	}
 	if rest > 0 {
-		wait = max(wait, waitFor(now, excluding(a.granted, lessUrgent), rate-rest, 0))
+		wait = max(wait, waitFor(now, excluding(s.granted, lessUrgent), rate-rest, 0))
 	}
 	return wait
 }
@@ -94,9 +94,9 @@
 }
 
 // demand returns the recent demand of some ranks, in requests a second.
-func (a *account) demand(now time.Time, ranks func(Rank) bool) Rate {
+func (s *serverEvents) demand(now time.Time, ranks func(Rank) bool) Rate {
 	n := 0
-	for _, e := range a.asked {
+	for _, e := range s.asked {
 		if ranks(e.rank) && now.Sub(e.at) < demandWindow {
 			n++
 		}
@@ -107,28 +107,29 @@
 // Ask counts a request in the demand for a server. A request that asks several owners is
 // counted by the first.
 func (l *Ledger) Ask(now time.Time, server placement.Incarnation, rank Rank) {
-	a := l.accountFor(server)
-	a.asked = trimEvents(append(a.asked, event{now, rank}), maxDemandEvents)
+	s := l.eventsOf(server)
+	s.asked = trimEvents(append(s.asked, event{now, rank}), maxDemandEvents)
 }
 
-func (l *Ledger) accountFor(server placement.Incarnation) *account {
-	a := l.accounts[server]
-	if a == nil {
-		a = &account{}
-		l.accounts[server] = a
+// eventsOf returns the events of a server, and adds an empty record if there is none.
+func (l *Ledger) eventsOf(server placement.Incarnation) *serverEvents {
+	s := l.servers[server]
+	if s == nil {
+		s = &serverEvents{}
+		l.servers[server] = s
 	}
-	return a
+	return s
 }
 
 // Grant grants a permit for a request to a server, or returns how long from now the next
 // one can be granted to a request of its rank.
 func (l *Ledger) Grant(now time.Time, server placement.Incarnation, rate Rate, rank Rank) (granted bool, wait time.Duration) {
-	a := l.accountFor(server)
+	s := l.eventsOf(server)
 	if wait = l.Wait(now, server, rate, rank); wait > 0 {
 		return false, wait
 	}
 	needed, _ := rate.retention()
-	a.granted = trimEvents(append(a.granted, event{now, rank}), max(needed, 2*minWindowRequests))
+	s.granted = trimEvents(append(s.granted, event{now, rank}), max(needed, 2*minWindowRequests))
 	return true, 0
 }
 
@@ -143,9 +144,9 @@
 // Expire drops the servers without an event in any window.
 func (l *Ledger) Expire(now time.Time) {
 	_, longest := Rate(minRate).retention()
-	for server, a := range l.accounts {
-		if areExpired(now, a.granted, longest) && areExpired(now, a.asked, demandWindow) {
-			delete(l.accounts, server)
+	for server, s := range l.servers {
+		if areExpired(now, s.granted, longest) && areExpired(now, s.asked, demandWindow) {
+			delete(l.servers, server)
 		}
 	}
 }
--- a/placement/interval_test.go
+++ b/placement/interval_test.go
@@ -81,8 +81,8 @@
 	slow := twoSpeeds().Slow()
 	for i := range 12 {
 		id := fmt.Sprintf("s%02d", i)
-		if _, told := slow[id]; told != slowThird(i) {
-			t.Errorf("%s reported as slow: %v", id, told)
+		if _, reported := slow[id]; reported != slowThird(i) {
+			t.Errorf("%s reported as slow: %v", id, reported)
 		}
 		if slowThird(i) && long[id] > 0 {
 			t.Errorf("%d long prompts at the slow server %s", long[id], id)
--- a/server/cold.go
+++ b/server/cold.go
@@ -12,20 +12,20 @@
 )
 
 // rosterSettleTime is how long after its start a process grants no permits and asks no fallback
-// router for one; it does ask the owners that it knows. Its list of routers may be incomplete:
-// lists may be seconds old and are read again three seconds after the start. It also doesn't know
-// which permits its predecessor granted.
+// router for one; it does ask the owners on its list. Its list of routers may be incomplete:
+// lists may be seconds old and are read again three seconds after the start. It also has no
+// record of the permits that its predecessor granted.
 const rosterSettleTime = 4 * time.Second
 
-// knowsFleet reports whether this process has run long enough to know the other routers.
-func (s *Server) knowsFleet() bool { return clock.Since(s.startedAt) >= rosterSettleTime }
+// fleetDiscovered reports whether this process has run long enough to discover the other routers.
+func (s *Server) fleetDiscovered() bool { return clock.Since(s.startedAt) >= rosterSettleTime }
 
 // newLimits returns the controller that enforces the rate limits of backend servers.
 func (s *Server) newLimits() *limits.Controller {
 	return limits.New(limits.Options{
 		Self:            s.settings.Instance.ID,
 		Fleet:           limits.PeerFleet{Recipients: s.recipients(), Client: s.peers},
-		KnowsFleet:      s.knowsFleet,
+		FleetDiscovered: s.fleetDiscovered,
 		AcceptsRequests: s.servers.AcceptsRequests,
 		Updated:         s.updatedByRelays,
 		Log:             s.log,
--- a/server/server.go
+++ b/server/server.go
@@ -67,7 +67,7 @@
 	// the rest covers uneven load and restarts.
 	retryShare = 0.8
 	// minRouters is the smallest fleet size assumed when a fleet-wide limit is divided
-	// among routers, since a starting router does not know the others yet.
+	// among routers, since a starting router has not discovered the others yet.
 	minRouters = 6
 	// finalReserveShare and finalReserveTime reserve the last 1/200 of a budget for 15 seconds of
 	// small requests, which still serves a few percent of the requests when most budgets are
@@ -353,8 +353,8 @@
 	return nil
 }
 
-// followStore starts following the store or the relays once this router knows the others:
-// how often it queries the store depends on the size of the fleet.
+// followStore starts following the store or the relays once this router has determined the size of the
+// fleet: how often it queries the store depends on that size.
 func (s *Server) followStore(ctx context.Context) {
 	select {
 	case <-s.roster.Introduced():
--- a/server/stale.go
+++ b/server/stale.go
@@ -54,7 +54,7 @@
 	return s.lastStoreCallFailed() && (s.link.UnansweredSince(known) || s.isAlone())
 }
 
-// isAlone reports whether this router knows no other router.
+// isAlone reports whether this router's list contains no other router.
 func (s *Server) isAlone() bool { return len(s.members.Members()) == 1 }
 
 // staleness describes a router whose data exceeds a staleness bound.
