--- a/poison/report.go
+++ b/poison/report.go
@@ -8,7 +8,7 @@
 )
 
 // Crash is the crash of a server's process and the requests that ran there, as far as one
-// router observed them.
+// router has recorded them.
 type Crash struct {
 	Server   placement.Incarnation
 	Service  string
